--- a/internal/version/applier/applier.go
+++ b/internal/version/applier/applier.go
@@ -58,7 +58,7 @@
 	}
 	a.tree = tree
 	a.number = s.Number
-	a.drain()
+	a.applyWaiting()
 	return nil
 }
 
@@ -75,11 +75,11 @@
 		a.waiting = map[recorder.Number]recorder.Change{}
 	}
 	a.waiting[c.Number] = c
-	a.drain()
+	a.applyWaiting()
 	return a.number > before
 }
 
-func (a *Applier) drain() {
+func (a *Applier) applyWaiting() {
 	for n := range a.waiting {
 		if n <= a.number {
 			delete(a.waiting, n)
--- a/internal/version/authenticator/credential.go
+++ b/internal/version/authenticator/credential.go
@@ -7,19 +7,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxCredential is the length in bytes above which no credential is looked at.
-const maxCredential = 256
+// maxCredentialLength is the length in bytes above which no credential is looked at.
+const maxCredentialLength = 256
 
 // The reasons for which a request has no credential that could be one.
 const (
 	// Sound is a credential that may be an API key.
-	Sound Flaw = ""
+	Sound CredentialStatus = ""
 	// Missing is none at all, or an empty one.
-	Missing Flaw = "no key"
+	Missing CredentialStatus = "no key"
 	// Repeated is more than one: which of them counts must not be a matter of who reads.
-	Repeated Flaw = "several keys"
+	Repeated CredentialStatus = "several keys"
 	// Malformed is one that no API key looks like.
-	Malformed Flaw = "malformed key"
+	Malformed CredentialStatus = "malformed key"
 )
 
 type (
@@ -27,8 +27,8 @@
 	// does not know the key.
 	Digest [16]byte
 
-	// Flaw says why a request carries no credential that could be an API key.
-	Flaw string
+	// CredentialStatus says why a request carries no credential that could be an API key.
+	CredentialStatus string
 )
 
 // DigestOf returns the digest of an API key.
@@ -53,22 +53,22 @@
 }
 
 // Credential returns the one credential among the values of a header field.
-func Credential(values []string) (string, Flaw) {
+func Credential(values []string) (string, CredentialStatus) {
 	switch {
 	case len(values) == 0 || len(values) == 1 && values[0] == "":
 		return "", Missing
 	case len(values) > 1:
 		return "", Repeated
-	case !sound(values[0]):
+	case !wellFormed(values[0]):
 		return "", Malformed
 	}
 	return values[0], Sound
 }
 
-// sound tells whether an API key may look so: printable ASCII without spaces or commas, by
+// wellFormed tells whether an API key may look so: printable ASCII without spaces or commas, by
 // which fields are joined on their way.
-func sound(credential string) bool {
-	if len(credential) > maxCredential {
+func wellFormed(credential string) bool {
+	if len(credential) > maxCredentialLength {
 		return false
 	}
 	for i := range len(credential) {
--- a/internal/version/authenticator/directory.go
+++ b/internal/version/authenticator/directory.go
@@ -39,14 +39,14 @@
 		Regions []string
 
 		hash hasher.Hash
-		// bound stands for Regions, 0 for none.
-		bound hasher.Hash
+		// regionsHash stands for Regions, 0 for none.
+		regionsHash hasher.Hash
 	}
 
 	// Directory is the organisations of one version. The zero value has none.
 	Directory struct {
 		holders map[Digest]*Organisation
-		all     map[hasher.Hash]*Organisation
+		byHash  map[hasher.Hash]*Organisation
 	}
 )
 
@@ -55,26 +55,26 @@
 func New(list []Organisation) (*Directory, error) {
 	d := &Directory{
 		holders: make(map[Digest]*Organisation, len(list)),
-		all:     make(map[hasher.Hash]*Organisation, len(list)),
+		byHash:  make(map[hasher.Hash]*Organisation, len(list)),
 	}
 	var problems []error
 	for i := range list {
 		o := &list[i]
-		o.prepare()
+		o.setHashes()
 		problems = append(problems, o.check()...)
-		if _, twice := d.all[o.hash]; twice {
+		if _, twice := d.byHash[o.hash]; twice {
 			problems = append(problems, eris.Errorf("organisation %q is there twice", o.Name))
 			continue
 		}
-		d.all[o.hash] = o
-		problems = append(problems, d.enter(o)...)
+		d.byHash[o.hash] = o
+		problems = append(problems, d.addKeys(o)...)
 	}
 	maps.DeleteFunc(d.holders, func(_ Digest, o *Organisation) bool { return o == nil })
 	return d, errors.Join(problems...)
 }
 
-// enter notes the keys of an organisation.
-func (d *Directory) enter(o *Organisation) (problems []error) {
+// addKeys notes the keys of an organisation.
+func (d *Directory) addKeys(o *Organisation) (problems []error) {
 	for _, k := range o.Keys {
 		other, held := d.holders[k]
 		switch {
@@ -98,7 +98,7 @@
 	if d == nil {
 		return nil
 	}
-	return d.all[h]
+	return d.byHash[h]
 }
 
 // Required tells whether requests must say whose they are. A nil Directory requires nothing.
@@ -111,7 +111,7 @@
 	if d == nil {
 		return nil
 	}
-	return slices.SortedFunc(maps.Values(d.all), func(a, b *Organisation) int { return cmp.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(maps.Values(d.byHash), func(a, b *Organisation) int { return cmp.Compare(a.Name, b.Name) })
 }
 
 // Len returns the number of organisations.
@@ -119,7 +119,7 @@
 	if d == nil {
 		return 0
 	}
-	return len(d.all)
+	return len(d.byHash)
 }
 
 // Hash identifies an organisation by its name, across versions.
@@ -138,7 +138,7 @@
 	if o == nil {
 		return 0
 	}
-	return o.bound
+	return o.regionsHash
 }
 
 // Unlimited tells that there is no limit.
@@ -146,10 +146,10 @@
 	return l.PerSecond <= 0
 }
 
-func (o *Organisation) prepare() {
+func (o *Organisation) setHashes() {
 	o.hash = hasher.OfString(string(o.Name))
 	for _, r := range slices.Sorted(slices.Values(o.Regions)) {
-		o.bound = hasher.Mix(o.bound, hasher.OfString(r))
+		o.regionsHash = hasher.Mix(o.regionsHash, hasher.OfString(r))
 	}
 }
 
--- a/internal/version/authenticator/directory_test.go
+++ b/internal/version/authenticator/directory_test.go
@@ -38,7 +38,7 @@
 	tests := []struct {
 		name   string
 		values []string
-		want   authenticator.Flaw
+		want   authenticator.CredentialStatus
 	}{
 		{"one", []string{"abc"}, authenticator.Sound},
 		{"none", nil, authenticator.Missing},
--- a/internal/version/cataloger/catalog.go
+++ b/internal/version/cataloger/catalog.go
@@ -57,21 +57,21 @@
 	Catalog struct {
 		lock      sync.Mutex
 		upstreams map[UpstreamID]*Upstream
-		// lives is the latest start that was reported of each upstream, also of some
+		// latestStart is the latest start that was reported of each upstream, also of some
 		// that are gone: an older report that arrives late is of a former life.
-		lives     map[UpstreamID]timekeeper.Millis
-		evacuated map[string]bool
-		current   atomic.Pointer[Snapshot]
-		// batches is how many batches are open, and stale whether one of them
+		latestStart map[UpstreamID]timekeeper.Millis
+		evacuated   map[string]bool
+		current     atomic.Pointer[Snapshot]
+		// openBatches is how many batches are open, and stale whether one of them
 		// changed anything.
-		batches int
-		stale   bool
+		openBatches int
+		dirty       bool
 	}
 )
 
-// goneLives is how many upstreams that are gone may be remembered. Late reports come
+// maxRemovedStarts is how many upstreams that are gone may be remembered. Late reports come
 // within seconds, in which a fleet of hundreds replaces some tens.
-const goneLives = 1000
+const maxRemovedStarts = 1000
 
 var empty Snapshot
 
@@ -85,7 +85,7 @@
 	return Incarnation{u.ID, u.Born}
 }
 
-func (u *Upstream) identify() {
+func (u *Upstream) setHash() {
 	u.hash = hasher.OfString(string(u.ID))
 	if u.Born != 0 {
 		u.hash = hasher.Mix(u.hash, hasher.Hash(u.Born))
@@ -123,13 +123,13 @@
 // proportion to all upstreams, and changes come by the hundred.
 func (c *Catalog) Batch(f func()) {
 	c.lock.Lock()
-	c.batches++
+	c.openBatches++
 	c.lock.Unlock()
 	f()
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.batches--
-	if c.batches == 0 && c.stale {
+	c.openBatches--
+	if c.openBatches == 0 && c.dirty {
 		c.publish()
 	}
 }
@@ -137,40 +137,40 @@
 // Put records what was reported of one upstream, and reports false if that was of a
 // former life.
 func (c *Catalog) Put(u Upstream) (current bool) {
-	c.change(func() {
-		if current = c.enter(u); current {
-			u.identify()
+	c.update(func() {
+		if current = c.recordStart(u); current {
+			u.setHash()
 			c.upstreams[u.ID] = &u
 		}
 	})
 	return current
 }
 
-// enter notes a life, and reports false if a later one is known. The caller holds the
+// recordStart notes a life, and reports false if a later one is known. The caller holds the
 // lock.
-func (c *Catalog) enter(u Upstream) bool {
-	if u.Born < c.lives[u.ID] {
+func (c *Catalog) recordStart(u Upstream) bool {
+	if u.Born < c.latestStart[u.ID] {
 		return false
 	}
 	if u.Born != 0 {
-		c.lives[u.ID] = u.Born
+		c.latestStart[u.ID] = u.Born
 	}
 	return true
 }
 
-// forgetLives drops the lives of upstreams that are gone once there are many.
-func (c *Catalog) forgetLives() {
-	if len(c.lives) <= len(c.upstreams)+goneLives {
+// forgetStarts drops the lives of upstreams that are gone once there are many.
+func (c *Catalog) forgetStarts() {
+	if len(c.latestStart) <= len(c.upstreams)+maxRemovedStarts {
 		return
 	}
-	maps.DeleteFunc(c.lives, func(id UpstreamID, _ timekeeper.Millis) bool {
+	maps.DeleteFunc(c.latestStart, func(id UpstreamID, _ timekeeper.Millis) bool {
 		return c.upstreams[id] == nil
 	})
 }
 
 // Remove forgets an upstream that is gone.
 func (c *Catalog) Remove(id UpstreamID) {
-	c.change(func() {
+	c.update(func() {
 		delete(c.upstreams, id)
 	})
 }
@@ -178,12 +178,12 @@
 // Replace makes all known upstreams be those of a complete list. One that is listed with
 // a former life stays as it is known.
 func (c *Catalog) Replace(all []Upstream) {
-	c.change(func() {
+	c.update(func() {
 		before := c.upstreams
 		c.upstreams = make(map[UpstreamID]*Upstream, len(all))
 		for _, u := range all {
-			if c.enter(u) {
-				u.identify()
+			if c.recordStart(u) {
+				u.setHash()
 				c.upstreams[u.ID] = &u
 			} else if known := before[u.ID]; known != nil {
 				c.upstreams[u.ID] = known
@@ -194,7 +194,7 @@
 
 // Evacuate says that a failure domain is to get nothing more.
 func (c *Catalog) Evacuate(domain string) {
-	c.change(func() {
+	c.update(func() {
 		c.evacuated[domain] = true
 	})
 }
@@ -202,7 +202,7 @@
 // Readmit takes an evacuation back. Until coldUntil the upstreams of the domain
 // count as cold, since their caches may have been lost meanwhile.
 func (c *Catalog) Readmit(domain string, coldUntil func(resolver.ServiceName) timekeeper.Millis) {
-	c.change(func() {
+	c.update(func() {
 		if !c.evacuated[domain] {
 			return
 		}
@@ -251,25 +251,25 @@
 	return *u, true
 }
 
-func (c *Catalog) change(f func()) {
+func (c *Catalog) update(f func()) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if c.upstreams == nil {
 		c.upstreams = map[UpstreamID]*Upstream{}
-		c.lives = map[UpstreamID]timekeeper.Millis{}
+		c.latestStart = map[UpstreamID]timekeeper.Millis{}
 		c.evacuated = map[string]bool{}
 	}
 	f()
-	c.forgetLives()
-	if c.batches > 0 {
-		c.stale = true
+	c.forgetStarts()
+	if c.openBatches > 0 {
+		c.dirty = true
 		return
 	}
 	c.publish()
 }
 
 func (c *Catalog) publish() {
-	c.stale = false
+	c.dirty = false
 	s := &Snapshot{
 		Change:   c.Current().Change + 1,
 		services: map[resolver.ServiceName][]*Upstream{},
--- a/internal/version/cataloger/catalog_test.go
+++ b/internal/version/cataloger/catalog_test.go
@@ -57,8 +57,8 @@
 	is.Equal(len(c.Current().Of("s")), 98)
 }
 
-// life is an upstream that started at a time, at an address that tells lives apart.
-func life(born timekeeper.Millis, address string) cataloger.Upstream {
+// incarnation is an upstream that started at a time, at an address that tells lives apart.
+func incarnation(born timekeeper.Millis, address string) cataloger.Upstream {
 	u := upstream(1)
 	u.Born, u.Address = born, address
 	return u
@@ -68,7 +68,7 @@
 func TestFormerLifeStaysGone(t *testing.T) {
 	is := is.New(t)
 	var c cataloger.Catalog
-	first, second := life(100, "a:1"), life(200, "a:2")
+	first, second := incarnation(100, "a:1"), incarnation(200, "a:2")
 	is.True(c.Put(first))
 	old := c.Current().Of("s")[0]
 	is.True(c.Put(second))
@@ -79,7 +79,7 @@
 	c.Replace([]cataloger.Upstream{first, upstream(2)})
 	is.Equal(len(c.Current().Of("s")), 2)
 	is.True(c.Current().Usable(second.Incarnation()) != nil)
-	is.True(!c.Put(life(0, "a:0"))) // an entry without the start, though one had it
+	is.True(!c.Put(incarnation(0, "a:0"))) // an entry without the start, though one had it
 	c.Remove("u1")
 	is.True(!c.Put(first))
 	is.Equal(len(c.Current().Of("s")), 1)
@@ -90,7 +90,7 @@
 func TestLivesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var c cataloger.Catalog
-	c.Put(life(500, "a:1"))
+	c.Put(incarnation(500, "a:1"))
 	for i := range 3000 {
 		u := upstream(i + 10)
 		u.Born = 100
@@ -99,6 +99,6 @@
 	}
 	u := upstream(10)
 	u.Born = 1
-	is.True(c.Put(u))                 // forgotten long ago
-	is.True(!c.Put(life(100, "a:1"))) // still there
+	is.True(c.Put(u))                        // forgotten long ago
+	is.True(!c.Put(incarnation(100, "a:1"))) // still there
 }
--- a/internal/version/loader/field.go
+++ b/internal/version/loader/field.go
@@ -19,39 +19,39 @@
 // The lengths of the paths of settings: Limits.BodyBytes, Route.returns.Host and
 // Route.returns.Weights.keg-ledger.
 const (
-	ofFile   = 1
-	ofLimits = 2
-	ofTable  = 3
-	ofWeight = 4
+	depthFile   = 1
+	depthLimits = 2
+	depthTable  = 3
+	depthWeight = 4
 )
 
 const (
 	unknownSetting = "unknown setting"
 
-	// maxTime is the longest time that a file may name.
-	maxTime = timekeeper.Hour
+	// maxDuration is the longest time that a file may name.
+	maxDuration = timekeeper.Hour
 )
 
 var kinds = map[string]matcher.Kind{"once": matcher.Once, "idempotent": matcher.Idempotent, "download": matcher.Download}
 
-// field takes one setting over, and says what is wrong with it.
-func (b *builder) field(e parser.Entry) string {
+// setField takes one setting over, and says what is wrong with it.
+func (b *builder) setField(e parser.Entry) string {
 	n := len(e.Path)
 	last := e.Path[n-1]
 	switch {
-	case n == ofFile:
+	case n == depthFile:
 		return b.fileField(last, e)
-	case n == ofLimits && e.Path[0] == "Limits":
+	case n == depthLimits && e.Path[0] == "Limits":
 		return limitField(&b.limits, last, e)
-	case n == ofTable && e.Path[0] == "Service":
+	case n == depthTable && e.Path[0] == "Service":
 		return serviceField(b.service(e.Path[1]), last, e)
-	case n == ofTable && e.Path[0] == "Upstream":
+	case n == depthTable && e.Path[0] == "Upstream":
 		return upstreamField(b.upstream(e.Path[1], e.Position), last, e)
-	case n == ofTable && e.Path[0] == "Organisation":
+	case n == depthTable && e.Path[0] == "Organisation":
 		return organisationField(b.organisation(e.Path[1]), last, e)
-	case n == ofTable && e.Path[0] == "Route":
+	case n == depthTable && e.Path[0] == "Route":
 		return routeField(b.route(e.Path[1]), last, e)
-	case n == ofWeight && e.Path[0] == "Route" && e.Path[2] == "Weights":
+	case n == depthWeight && e.Path[0] == "Route" && e.Path[2] == "Weights":
 		return weightField(b.route(e.Path[1]), last, e)
 	}
 	return unknownSetting
@@ -73,7 +73,7 @@
 
 func (b *builder) upstream(id string, at parser.Position) *upstream {
 	if b.upstreams[id] == nil {
-		b.upstreams[id] = &upstream{Upstream: cataloger.Upstream{ID: cataloger.UpstreamID(id)}, at: at}
+		b.upstreams[id] = &upstream{Upstream: cataloger.Upstream{ID: cataloger.UpstreamID(id)}, position: at}
 	}
 	return b.upstreams[id]
 }
@@ -88,9 +88,9 @@
 func (b *builder) fileField(name string, e parser.Entry) string {
 	switch name {
 	case "Version":
-		return whole(&b.version, e)
+		return readCount(&b.version, e)
 	case "Evacuated":
-		return words(&b.evacuated, e)
+		return readList(&b.evacuated, e)
 	}
 	return unknownSetting
 }
@@ -98,13 +98,13 @@
 func limitField(l *matcher.Limits, name string, e parser.Entry) string {
 	switch name {
 	case "HeaderBytes":
-		return whole(&l.HeaderBytes, e)
+		return readCount(&l.HeaderBytes, e)
 	case "BodyBytes":
-		return whole(&l.BodyBytes, e)
+		return readCount(&l.BodyBytes, e)
 	case "HeaderTimeoutMillis":
-		return millis(&l.HeaderTimeout, e)
+		return readMillis(&l.HeaderTimeout, e)
 	case "IdleTimeoutMillis":
-		return millis(&l.IdleTimeout, e)
+		return readMillis(&l.IdleTimeout, e)
 	}
 	return unknownSetting
 }
@@ -112,13 +112,13 @@
 func serviceField(s *matcher.Service, name string, e parser.Entry) string {
 	switch name {
 	case "HealthPath":
-		return text(&s.HealthPath, e)
+		return readText(&s.HealthPath, e)
 	case "MaxConnections":
-		return whole(&s.MaxConnections, e)
+		return readCount(&s.MaxConnections, e)
 	case "WarmupMillis":
-		return millis(&s.Warmup, e)
+		return readMillis(&s.Warmup, e)
 	case "WarmupPerSecond":
-		return number(&s.WarmupPerSecond, e)
+		return readNumber(&s.WarmupPerSecond, e)
 	}
 	return unknownSetting
 }
@@ -126,22 +126,22 @@
 func upstreamField(u *upstream, name string, e parser.Entry) string {
 	switch name {
 	case "Service":
-		return text(&u.Service, e)
+		return readText(&u.Service, e)
 	case "Address":
 		if _, err := netip.ParseAddrPort(e.Text); err != nil {
 			return "is no IP number and port"
 		}
-		return text(&u.Address, e)
+		return readText(&u.Address, e)
 	case "Site":
-		return site(&u.Site, e)
+		return readSite(&u.Site, e)
 	case "Release":
-		return text(&u.Release, e)
+		return readText(&u.Release, e)
 	case "Slots":
-		return whole(&u.Slots, e)
+		return readCount(&u.Slots, e)
 	case "Leaving":
-		return yes(&u.Leaving, e)
+		return readBool(&u.Leaving, e)
 	case "ColdMillis":
-		return millis(&u.ColdUntil, e)
+		return readMillis(&u.ColdUntil, e)
 	}
 	return unknownSetting
 }
@@ -149,29 +149,29 @@
 func routeField(r *matcher.Route, name string, e parser.Entry) string {
 	switch name {
 	case "Host":
-		problem := text(&r.Host, e)
+		problem := readText(&r.Host, e)
 		r.Host = strings.ToLower(r.Host)
 		return problem
 	case "Prefix":
-		return text(&r.Prefix, e)
+		return readText(&r.Prefix, e)
 	case "Kind":
 		k, ok := kinds[e.Text]
 		r.Kind = k
-		return unless(ok, "is none of once, idempotent, download")
+		return problemUnless(ok, "is none of once, idempotent, download")
 	case "Rank":
-		return whole(&r.Rank, e)
+		return readCount(&r.Rank, e)
 	case "ObjectiveMillis":
-		return millis(&r.Objective, e)
+		return readMillis(&r.Objective, e)
 	case "TimeoutMillis":
-		return millis(&r.Timeout, e)
+		return readMillis(&r.Timeout, e)
 	case "Attempts":
-		return whole(&r.Attempts, e)
+		return readCount(&r.Attempts, e)
 	case "Regions":
-		return words(&r.Regions, e)
+		return readList(&r.Regions, e)
 	case "Sticky":
-		return yes(&r.Sticky, e)
+		return readBool(&r.Sticky, e)
 	case "Public":
-		return yes(&r.Public, e)
+		return readBool(&r.Public, e)
 	}
 	return unknownSetting
 }
@@ -179,21 +179,21 @@
 func organisationField(o *authenticator.Organisation, name string, e parser.Entry) string {
 	switch name {
 	case "Keys":
-		return digests(&o.Keys, e)
+		return readDigests(&o.Keys, e)
 	case "Rank":
-		return whole(&o.Rank, e)
+		return readCount(&o.Rank, e)
 	case "PerSecond":
-		return number(&o.Limit.PerSecond, e)
+		return readNumber(&o.Limit.PerSecond, e)
 	case "Burst":
-		return number(&o.Limit.Burst, e)
+		return readNumber(&o.Limit.Burst, e)
 	case "Regions":
-		return words(&o.Regions, e)
+		return readList(&o.Regions, e)
 	}
 	return unknownSetting
 }
 
-// digests reads digests of API keys. What is none is not repeated: it may be a key.
-func digests(x *[]authenticator.Digest, e parser.Entry) string {
+// readDigests reads digests of API keys. What is none is not repeated: it may be a key.
+func readDigests(x *[]authenticator.Digest, e parser.Entry) string {
 	if e.Kind != parser.KindList {
 		return "is no list of digests of keys"
 	}
@@ -209,56 +209,56 @@
 
 func weightField(r *matcher.Route, service string, e parser.Entry) string {
 	p := matcher.Part{Service: resolver.ServiceName(service)}
-	problem := whole(&p.Weight, e)
+	problem := readCount(&p.Weight, e)
 	r.Parts = append(r.Parts, p)
 	return problem
 }
 
-func unless(ok bool, problem string) string {
+func problemUnless(ok bool, problem string) string {
 	if ok {
 		return ""
 	}
 	return problem
 }
 
-func text[T ~string](x *T, e parser.Entry) string {
+func readText[T ~string](x *T, e parser.Entry) string {
 	*x = T(e.Text)
-	return unless(e.Kind == parser.KindText && e.Text != "", "is no text")
+	return problemUnless(e.Kind == parser.KindText && e.Text != "", "is no text")
 }
 
-func words(x *[]string, e parser.Entry) string {
+func readList(x *[]string, e parser.Entry) string {
 	*x = e.List
-	return unless(e.Kind == parser.KindList, "is no list of texts")
+	return problemUnless(e.Kind == parser.KindList, "is no list of texts")
 }
 
-func yes(x *bool, e parser.Entry) string {
+func readBool(x *bool, e parser.Entry) string {
 	*x = e.Text == "true"
-	return unless(e.Kind == parser.KindBool, "is neither true nor false")
+	return problemUnless(e.Kind == parser.KindBool, "is neither true nor false")
 }
 
-func whole[T ~int | ~int64 | ~uint64](x *T, e parser.Entry) string {
+func readCount[T ~int | ~int64 | ~uint64](x *T, e parser.Entry) string {
 	n, err := strconv.ParseInt(e.Text, 10, 64)
 	*x = T(n)
-	return unless(e.Kind == parser.KindNumber && err == nil && n >= 0, "is no whole number from 0 on")
+	return problemUnless(e.Kind == parser.KindNumber && err == nil && n >= 0, "is no whole number from 0 on")
 }
 
-func number(x *float64, e parser.Entry) string {
+func readNumber(x *float64, e parser.Entry) string {
 	n, err := strconv.ParseFloat(e.Text, 64)
 	*x = n
-	return unless(e.Kind == parser.KindNumber && err == nil && n >= 0 && !math.IsInf(n, 0), "is no number from 0 on")
+	return problemUnless(e.Kind == parser.KindNumber && err == nil && n >= 0 && !math.IsInf(n, 0), "is no number from 0 on")
 }
 
-func millis(x *timekeeper.Millis, e parser.Entry) string {
-	problem := whole(x, e)
-	if problem == "" && *x > maxTime {
+func readMillis(x *timekeeper.Millis, e parser.Entry) string {
+	problem := readCount(x, e)
+	if problem == "" && *x > maxDuration {
 		return "is longer than an hour, in milliseconds"
 	}
 	return problem
 }
 
-// site reads "region/domain".
-func site(x *registrar.Site, e parser.Entry) string {
+// readSite reads "region/domain".
+func readSite(x *registrar.Site, e parser.Entry) string {
 	region, domain, ok := strings.Cut(e.Text, "/")
 	*x = registrar.Site(e.Text)
-	return unless(ok && region != "" && domain != "", "is no region/domain")
+	return problemUnless(ok && region != "" && domain != "", "is no region/domain")
 }
--- a/internal/version/loader/load.go
+++ b/internal/version/loader/load.go
@@ -43,7 +43,7 @@
 	// upstream is an upstream and where the file begins to tell of it.
 	upstream struct {
 		cataloger.Upstream
-		at parser.Position
+		position parser.Position
 	}
 )
 
@@ -69,26 +69,26 @@
 		organisations: map[string]*authenticator.Organisation{},
 	}
 	for _, e := range entries {
-		b.take(e)
+		b.addEntry(e)
 	}
-	t := b.table()
+	t := b.buildTable()
 	if len(b.problems) > 0 {
 		return nil, b.problems
 	}
 	return t, nil
 }
 
-// take takes one setting over.
-func (b *builder) take(e parser.Entry) {
-	if problem := b.field(e); problem != "" {
+// addEntry takes one setting over.
+func (b *builder) addEntry(e parser.Entry) {
+	if problem := b.setField(e); problem != "" {
 		b.problems = append(b.problems, parser.Problem{Position: e.Position, Path: e.Name(), Text: problem})
 	}
 }
 
-// table joins what was read and checks it as a whole.
-func (b *builder) table() *Table {
+// buildTable joins what was read and checks it as a whole.
+func (b *builder) buildTable() *Table {
 	if b.version == 0 {
-		b.complain(parser.Position{File: b.file}, "Version", "missing: a table needs a number that grows with each change")
+		b.report(parser.Position{File: b.file}, "Version", "missing: a table needs a number that grows with each change")
 	}
 	var routes []matcher.Route
 	for _, n := range slices.Sorted(maps.Keys(b.routes)) {
@@ -103,15 +103,15 @@
 		services = append(services, *b.services[n])
 	}
 	c, err := matcher.New(b.version, b.limits, routes, services)
-	for _, p := range unjoin(err) {
-		b.complain(parser.Position{File: b.file}, "", p.Error())
+	for _, p := range splitJoined(err) {
+		b.report(parser.Position{File: b.file}, "", p.Error())
 	}
-	b.admit(c)
-	return &Table{Config: c, Upstreams: b.checked(), Evacuated: b.evacuated}
+	b.setOrganisations(c)
+	return &Table{Config: c, Upstreams: b.checkedUpstreams(), Evacuated: b.evacuated}
 }
 
-// admit has the configuration ask whose a request is if there are organisations.
-func (b *builder) admit(c *matcher.Config) {
+// setOrganisations has the configuration ask whose a request is if there are organisations.
+func (b *builder) setOrganisations(c *matcher.Config) {
 	if len(b.organisations) == 0 {
 		return
 	}
@@ -120,14 +120,14 @@
 		list = append(list, *b.organisations[n])
 	}
 	d, err := authenticator.New(list)
-	for _, p := range unjoin(err) {
-		b.complain(parser.Position{File: b.file}, "", p.Error())
+	for _, p := range splitJoined(err) {
+		b.report(parser.Position{File: b.file}, "", p.Error())
 	}
 	c.Admit(d)
 }
 
-// routed returns the services to which routes go.
-func (b *builder) routed() map[resolver.ServiceName]bool {
+// routedServices returns the services to which routes go.
+func (b *builder) routedServices() map[resolver.ServiceName]bool {
 	out := map[resolver.ServiceName]bool{}
 	for _, r := range b.routes {
 		for _, p := range r.Parts {
@@ -137,30 +137,30 @@
 	return out
 }
 
-// checked returns the upstreams, by id, and complains about those that are not whole
+// checkedUpstreams returns the upstreams, by id, and complains about those that are not whole
 // or get no requests.
-func (b *builder) checked() []cataloger.Upstream {
+func (b *builder) checkedUpstreams() []cataloger.Upstream {
 	var out []cataloger.Upstream
-	routed := b.routed()
+	routed := b.routedServices()
 	for _, n := range slices.Sorted(maps.Keys(b.upstreams)) {
 		u := b.upstreams[n]
 		switch {
 		case !routed[u.Service]:
-			b.complain(u.at, "Upstream."+n, "no route goes to its service "+cmp.Or(string(u.Service), `""`))
+			b.report(u.position, "Upstream."+n, "no route goes to its service "+cmp.Or(string(u.Service), `""`))
 		case u.Address == "" || u.Site == "" || u.Slots == 0:
-			b.complain(u.at, "Upstream."+n, "needs Address, Site and Slots")
+			b.report(u.position, "Upstream."+n, "needs Address, Site and Slots")
 		}
 		out = append(out, u.Upstream)
 	}
 	return out
 }
 
-func (b *builder) complain(at parser.Position, path, text string) {
+func (b *builder) report(at parser.Position, path, text string) {
 	b.problems = append(b.problems, parser.Problem{Position: at, Path: path, Text: text})
 }
 
-// unjoin returns the errors that were joined into one.
-func unjoin(err error) []error {
+// splitJoined returns the errors that were joined into one.
+func splitJoined(err error) []error {
 	if err == nil {
 		return nil
 	}
@@ -176,7 +176,7 @@
 // now is cold for as long as its services take to warm up.
 func (t *Table) Fill(c *cataloger.Catalog, now timekeeper.Millis) {
 	c.Batch(func() {
-		c.Replace(t.at(c, now))
+		c.Replace(t.upstreamsAt(c, now))
 		for _, d := range c.Evacuated() {
 			if !slices.Contains(t.Evacuated, d) {
 				c.Readmit(d, func(s resolver.ServiceName) timekeeper.Millis { return now + t.Config.Services[s].Warmup })
@@ -188,9 +188,9 @@
 	})
 }
 
-// at returns the upstreams with times by the clock. One that is known already stays
+// upstreamsAt returns the upstreams with times by the clock. One that is known already stays
 // cold as long as it was to be.
-func (t *Table) at(c *cataloger.Catalog, now timekeeper.Millis) []cataloger.Upstream {
+func (t *Table) upstreamsAt(c *cataloger.Catalog, now timekeeper.Millis) []cataloger.Upstream {
 	var out []cataloger.Upstream
 	for _, u := range t.Upstreams {
 		if known, ok := c.Known(u.ID); ok {
--- a/internal/version/locator/store.go
+++ b/internal/version/locator/store.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	prefix = "Blocks/"
+	objectPrefix = "Blocks/"
 
 	// partBlocks is how many blocks one stored part holds. Compressed, that
 	// many stay far below storer.MaxObjectBytes.
 	partBlocks = 40000
 
-	// partsAtOnce bounds one answer of the store.
-	partsAtOnce = 4
+	// partsPerList bounds one answer of the store.
+	partsPerList = 4
 
 	// maxPartBytes bounds a part when it is read.
 	maxPartBytes = 64 << 20
@@ -35,13 +35,13 @@
 // "10.1.0.0/16 erie/a".
 func Read(r io.Reader) (*Table, error) {
 	var b Builder
-	if err := b.read(r); err != nil {
+	if err := b.readText(r); err != nil {
 		return nil, err
 	}
 	return b.Table(), nil
 }
 
-func (b *Builder) read(r io.Reader) error {
+func (b *Builder) readText(r io.Reader) error {
 	s := bufio.NewScanner(r)
 	line := 0
 	for s.Scan() {
@@ -50,14 +50,14 @@
 		if text == "" || strings.HasPrefix(text, "#") {
 			continue
 		}
-		if err := b.line(text); err != nil {
+		if err := b.addLine(text); err != nil {
 			return eris.Wrapf(err, "line %d", line)
 		}
 	}
 	return s.Err()
 }
 
-func (b *Builder) line(text string) error {
+func (b *Builder) addLine(text string) error {
 	block, site, ok := strings.Cut(text, " ")
 	if !ok {
 		return eris.Errorf("%q is not a block and a failure domain", text)
@@ -85,7 +85,7 @@
 		if n == 0 {
 			return blocks, found
 		}
-		found, err = savePart(ctx, c, fmt.Sprintf("%s%s/%06d", prefix, name, part), body)
+		found, err = savePart(ctx, c, fmt.Sprintf("%s%s/%06d", objectPrefix, name, part), body)
 		if err != nil {
 			return blocks, eris.Wrapf(err, "table %s part %d", name, part)
 		}
@@ -131,30 +131,30 @@
 	var b Builder
 	after := ""
 	for {
-		batch, err := c.List(ctx, prefix+name+"/", after, partsAtOnce)
+		batch, err := c.List(ctx, objectPrefix+name+"/", after, partsPerList)
 		if err != nil {
 			return nil, err
 		}
 		for _, o := range batch.Objects {
-			if err := b.part(o.Body); err != nil {
+			if err := b.readPart(o.Body); err != nil {
 				return nil, eris.Wrapf(err, "object %s", o.Name)
 			}
 			after = o.Name
 		}
-		if len(batch.Objects) < partsAtOnce {
+		if len(batch.Objects) < partsPerList {
 			break
 		}
 	}
-	if len(b.table.origin) == 0 {
+	if len(b.table.blockOrigin) == 0 {
 		return nil, eris.Wrapf(storer.ErrNotFound, "table %s", name)
 	}
 	return b.Table(), nil
 }
 
-func (b *Builder) part(body []byte) error {
+func (b *Builder) readPart(body []byte) error {
 	z, err := gzip.NewReader(bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	return b.read(io.LimitReader(z, maxPartBytes))
+	return b.readText(io.LimitReader(z, maxPartBytes))
 }
--- a/internal/version/locator/table.go
+++ b/internal/version/locator/table.go
@@ -13,8 +13,8 @@
 const (
 	// A caller outside all blocks is treated as if its network of this many
 	// bits were a block, so that neighbours go together.
-	strayBits4 = 24
-	strayBits6 = 48
+	unlistedBits4 = 24
+	unlistedBits6 = 48
 
 	maxOrigins = 1 << 16
 )
@@ -24,15 +24,15 @@
 	Table struct {
 		blocks  bart.Table[uint32]
 		origins []registrar.Site
-		// origin and hash are indexed by the number of the block.
-		origin []uint16
-		hash   []hasher.Hash
+		// blockOrigin and hash are indexed by the number of the block.
+		blockOrigin []uint16
+		blockHash   []hasher.Hash
 	}
 
 	// Builder builds a table.
 	Builder struct {
-		table Table
-		known map[registrar.Site]uint16
+		table         Table
+		originIndexes map[registrar.Site]uint16
 	}
 
 	// Block is where an address belongs.
@@ -51,29 +51,29 @@
 	if !p.IsValid() {
 		return eris.New("invalid block")
 	}
-	i, err := b.index(origin)
+	i, err := b.originIndex(origin)
 	if err != nil {
 		return err
 	}
-	n := uint32(len(b.table.origin))
+	n := uint32(len(b.table.blockOrigin))
 	b.table.blocks.Insert(p, n)
-	b.table.origin = append(b.table.origin, i)
-	b.table.hash = append(b.table.hash, hashOf(p))
+	b.table.blockOrigin = append(b.table.blockOrigin, i)
+	b.table.blockHash = append(b.table.blockHash, hashOf(p))
 	return nil
 }
 
-func (b *Builder) index(origin registrar.Site) (uint16, error) {
-	if i, ok := b.known[origin]; ok {
+func (b *Builder) originIndex(origin registrar.Site) (uint16, error) {
+	if i, ok := b.originIndexes[origin]; ok {
 		return i, nil
 	}
 	if len(b.table.origins) == maxOrigins {
 		return 0, eris.New("too many origins")
 	}
-	if b.known == nil {
-		b.known = map[registrar.Site]uint16{}
+	if b.originIndexes == nil {
+		b.originIndexes = map[registrar.Site]uint16{}
 	}
 	i := uint16(len(b.table.origins))
-	b.known[origin] = i
+	b.originIndexes[origin] = i
 	b.table.origins = append(b.table.origins, origin)
 	return i, nil
 }
@@ -93,15 +93,15 @@
 	a = a.Unmap()
 	n, ok := t.blocks.Lookup(a)
 	if !ok {
-		return Block{Hash: strayHash(a)}
+		return Block{Hash: unlistedHash(a)}
 	}
-	return Block{Origin: t.origins[t.origin[n]], Hash: t.hash[n]}
+	return Block{Origin: t.origins[t.blockOrigin[n]], Hash: t.blockHash[n]}
 }
 
-func strayHash(a netip.Addr) hasher.Hash {
-	bits := strayBits6
+func unlistedHash(a netip.Addr) hasher.Hash {
+	bits := unlistedBits6
 	if a.Is4() {
-		bits = strayBits4
+		bits = unlistedBits4
 	}
 	p, err := a.Prefix(bits)
 	if err != nil {
--- a/internal/version/matcher/config.go
+++ b/internal/version/matcher/config.go
@@ -63,8 +63,8 @@
 		// Public tells that requests need not say whose they are.
 		Public bool
 
-		weights int
-		hash    hasher.Hash
+		totalWeight int
+		hash        hasher.Hash
 	}
 
 	// Service is what the configuration says of the upstreams of one service.
@@ -96,10 +96,10 @@
 		Organisations *authenticator.Directory
 
 		hosts map[string][]*Route
-		// urgent is the most urgent rank of each service.
-		urgent map[resolver.ServiceName]Rank
-		// leading is the most urgent rank of an organisation.
-		leading authenticator.Rank
+		// mostUrgent is the most urgent rank of each service.
+		mostUrgent map[resolver.ServiceName]Rank
+		// mostUrgentOrganisation is the most urgent rank of an organisation.
+		mostUrgentOrganisation authenticator.Rank
 	}
 )
 
@@ -107,21 +107,21 @@
 // reports all that is wrong at once.
 func New(v Version, l Limits, routes []Route, services []Service) (*Config, error) {
 	c := &Config{
-		Version:  v,
-		Limits:   l,
-		Services: make(map[resolver.ServiceName]Service, len(services)),
-		hosts:    map[string][]*Route{},
-		urgent:   map[resolver.ServiceName]Rank{},
+		Version:    v,
+		Limits:     l,
+		Services:   make(map[resolver.ServiceName]Service, len(services)),
+		hosts:      map[string][]*Route{},
+		mostUrgent: map[resolver.ServiceName]Rank{},
 	}
 	for _, s := range services {
 		c.Services[s.Name] = s
 	}
 	var problems []error
 	for _, r := range routes {
-		problems = append(problems, c.check(&r)...)
-		r.prepare()
+		problems = append(problems, c.checkRoute(&r)...)
+		r.precompute()
 		c.hosts[r.Host] = append(c.hosts[r.Host], &r)
-		c.noteRank(&r)
+		c.updateMostUrgent(&r)
 	}
 	for _, h := range c.hosts {
 		slices.SortFunc(h, longestFirst)
@@ -142,20 +142,20 @@
 
 // Urgent returns the most urgent rank of the requests to a service.
 func (c *Config) Urgent(s resolver.ServiceName) Rank {
-	return c.urgent[s]
+	return c.mostUrgent[s]
 }
 
 // Leading returns the most urgent rank of an organisation.
 func (c *Config) Leading() authenticator.Rank {
-	return c.leading
+	return c.mostUrgentOrganisation
 }
 
 // Admit makes the configuration one in which requests must say whose they are.
 func (c *Config) Admit(d *authenticator.Directory) {
 	c.Organisations = d
 	for i, o := range d.All() {
-		if i == 0 || o.Rank < c.leading {
-			c.leading = o.Rank
+		if i == 0 || o.Rank < c.mostUrgentOrganisation {
+			c.mostUrgentOrganisation = o.Rank
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
 	}
-	n := int(uint64(hasher.Mix(key, r.hash)) % uint64(max(r.weights, 1)))
+	n := int(uint64(hasher.Mix(key, r.hash)) % uint64(max(r.totalWeight, 1)))
 	for _, p := range r.Parts {
 		n -= p.Weight
 		if n < 0 {
@@ -211,24 +211,24 @@
 	return len(r.Regions) == 0 || slices.Contains(r.Regions, region)
 }
 
-func (c *Config) noteRank(r *Route) {
+func (c *Config) updateMostUrgent(r *Route) {
 	for _, p := range r.Parts {
-		rank, ok := c.urgent[p.Service]
+		rank, ok := c.mostUrgent[p.Service]
 		if !ok || r.Rank < rank {
-			c.urgent[p.Service] = r.Rank
+			c.mostUrgent[p.Service] = r.Rank
 		}
 	}
 }
 
-func (r *Route) prepare() {
+func (r *Route) precompute() {
 	r.hash = hasher.OfString(r.Name)
 	for _, p := range r.Parts {
-		r.weights += p.Weight
+		r.totalWeight += p.Weight
 	}
 	r.Attempts = max(r.Attempts, 1)
 }
 
-func (c *Config) check(r *Route) (problems []error) {
+func (c *Config) checkRoute(r *Route) (problems []error) {
 	bad := func(format string, args ...any) {
 		problems = append(problems, eris.Errorf("route "+r.Name+": "+format, args...))
 	}
--- a/internal/version/parser/parse.go
+++ b/internal/version/parser/parse.go
@@ -103,7 +103,7 @@
 	w := walker{file: file}
 	w.parser.Reset(data)
 	for w.parser.NextExpression() {
-		w.expression(w.parser.Expression())
+		w.addExpression(w.parser.Expression())
 	}
 	return w.entries, w.problems
 }
@@ -130,20 +130,20 @@
 	problems Problems
 }
 
-func (w *walker) expression(n *unstable.Node) {
+func (w *walker) addExpression(n *unstable.Node) {
 	switch n.Kind {
 	case unstable.Table:
-		w.table, _ = w.key(n)
+		w.table, _ = w.readKey(n)
 	case unstable.ArrayTable:
-		path, at := w.key(n)
+		path, at := w.readKey(n)
 		w.table = path
-		w.reject(at, path, "lists of tables are not used here")
+		w.report(at, path, "lists of tables are not used here")
 	case unstable.KeyValue:
-		w.pair(w.table, n)
+		w.addKeyValue(w.table, n)
 	}
 }
 
-func (w *walker) key(n *unstable.Node) ([]string, Position) {
+func (w *walker) readKey(n *unstable.Node) ([]string, Position) {
 	var path []string
 	at := Position{File: w.file}
 	it := n.Key()
@@ -157,24 +157,24 @@
 	return path, at
 }
 
-func (w *walker) pair(prefix []string, n *unstable.Node) {
-	key, at := w.key(n)
+func (w *walker) addKeyValue(prefix []string, n *unstable.Node) {
+	key, at := w.readKey(n)
 	path := append(append([]string{}, prefix...), key...)
 	v := n.Value()
 	switch v.Kind {
 	case unstable.InlineTable:
 		it := v.Children()
 		for it.Next() {
-			w.pair(path, it.Node())
+			w.addKeyValue(path, it.Node())
 		}
 	case unstable.Array:
-		w.list(path, at, v)
+		w.addList(path, at, v)
 	default:
 		w.entries = append(w.entries, Entry{Path: path, Kind: kindOf(v.Kind), Text: string(v.Data), Position: at})
 	}
 }
 
-func (w *walker) list(path []string, at Position, v *unstable.Node) {
+func (w *walker) addList(path []string, at Position, v *unstable.Node) {
 	e := Entry{Path: path, Kind: KindList, Position: at}
 	it := v.Children()
 	for it.Next() {
@@ -183,7 +183,7 @@
 			continue
 		}
 		if c.Kind != unstable.String {
-			w.reject(at, path, "a list holds strings only")
+			w.report(at, path, "a list holds strings only")
 			return
 		}
 		e.List = append(e.List, string(c.Data))
@@ -191,7 +191,7 @@
 	w.entries = append(w.entries, e)
 }
 
-func (w *walker) reject(at Position, path []string, text string) {
+func (w *walker) report(at Position, path []string, text string) {
 	w.problems = append(w.problems, Problem{Position: at, Path: strings.Join(path, "."), Text: text})
 }
 
--- a/internal/version/planner/check.go
+++ b/internal/version/planner/check.go
@@ -13,20 +13,20 @@
 type Use struct {
 	Site    registrar.Site
 	Service resolver.ServiceName
-	// Slots is how many slots would be in use on average, Limit how many may
-	// be.
+	// Slots is the average number of slots that would be in use, Limit the number that
+	// may be.
 	Slots float64
 	Limit float64
 }
 
-// Predict returns the use of every site once every move that settings ask for
-// is done, going by the measured load.
+// Predict returns the use of every site after all moves that the settings ask for have
+// completed, at the measured load.
 func Predict(r *resolver.Resolved, l Load, wall timekeeper.Millis) []Use {
 	var out []Use
 	for _, service := range r.Services {
-		open := openCapacity(r, service, wall)
+		available := availableCapacity(r, service, wall)
 		use := weights{}
-		for origin, d := range targets(r, service, l.Work[service], wall, whole(r), nil) {
+		for origin, d := range targets(r, service, l.Work[service], wall, completedShifts(r), nil) {
 			for _, p := range d {
 				use[registrar.Site(p.Site)] += l.Work[service][origin] * p.Share.Fraction()
 			}
@@ -34,15 +34,15 @@
 		for _, site := range r.Sites {
 			s := r.At(site, service)
 			if s.Capacity() > 0 {
-				out = append(out, Use{Site: site, Service: service, Slots: use[site], Limit: open[site] * s.Limit})
+				out = append(out, Use{Site: site, Service: service, Slots: use[site], Limit: available[site] * s.Limit})
 			}
 		}
 	}
 	return out
 }
 
-// whole is the shifts of the settings when all is done.
-func whole(r *resolver.Resolved) []Progress {
+// completedShifts returns the shifts of the settings as completed.
+func completedShifts(r *resolver.Resolved) []Progress {
 	var out []Progress
 	for _, s := range r.Shifts {
 		out = append(out, Progress{Service: s.Service, From: s.From, To: s.To, Moved: s.Share, Cap: s.Cap})
@@ -50,13 +50,13 @@
 	return out
 }
 
-// Check says which sites settings would overload and which services they would
-// leave without any site.
+// Check returns the sites that the settings would overload and the services that they
+// would leave without a site.
 func Check(r *resolver.Resolved, l Load, wall timekeeper.Millis) parser.Problems {
 	var out parser.Problems
 	for _, service := range r.Services {
-		if len(l.Work[service]) > 0 && len(openCapacity(r, service, wall)) == 0 {
-			out = append(out, parser.Problem{Path: string(service), Text: "no site would be left to take its traffic"})
+		if len(l.Work[service]) > 0 && len(availableCapacity(r, service, wall)) == 0 {
+			out = append(out, parser.Problem{Path: string(service), Text: "no site is left for its traffic"})
 		}
 	}
 	for _, u := range Predict(r, l, wall) {
--- a/internal/version/planner/loss.go
+++ b/internal/version/planner/loss.go
@@ -10,55 +10,57 @@
 )
 
 type (
-	// Loss is what the loss of one failure domain or region would do.
+	// Loss is the predicted effect of losing one failure domain or region.
 	Loss struct {
-		// Lost is the path of what is lost: "erie" or "erie/a".
+		// Lost is the path of the failure domain or region: "erie/a" or "erie".
 		Lost string
-		// Over lists what would be filled beyond its limit, Unserved the services
-		// for which no site would be left.
+		// Over lists the sites that would exceed their limits. Unserved lists the
+		// services that would have no site left.
 		Over     []Use                  `json:",omitempty"`
 		Unserved []resolver.ServiceName `json:",omitempty"`
 	}
 
-	// Headroom is the part of what a service may fill in a region that is free.
+	// Headroom is the free fraction of the limit of a service in a region.
 	Headroom struct {
 		Region  string
 		Service resolver.ServiceName
-		// Now is with everything there, After with Without lost, the loss that
-		// leaves least. Below 0 the limit is exceeded by that part.
+		// Now is the headroom with all sites available, After the headroom after the
+		// worst loss, which Without names. A negative value means that the limit is
+		// exceeded by that fraction.
 		Now     float64
 		After   float64
 		Without string
 	}
 )
 
-// Covered tells whether the rest can carry what was lost.
+// Covered reports whether the remaining sites can carry the load.
 func (l Loss) Covered() bool {
 	return len(l.Over) == 0 && len(l.Unserved) == 0
 }
 
-// Losses works out what the loss of each failure domain and each region would do,
-// and the headroom of each region now and after the loss that is worst for it.
-// Callers of a lost place are still there and go elsewhere.
+// Losses predicts the effect of losing each failure domain and each region, and returns
+// the headroom of each region now and after the worst loss for it. The callers of a
+// lost place remain, and their requests go elsewhere.
 func Losses(r *resolver.Resolved, l Load, wall timekeeper.Millis) ([]Loss, []Headroom) {
-	rooms := roomsOf(Predict(r, l, wall))
+	headroom := headroomByRegion(Predict(r, l, wall))
 	var out []Loss
-	for _, name := range places(r) {
-		gone := func(s registrar.Site) bool { return string(s) == name || s.Region() == name }
-		rest := r.Without(gone)
-		uses := Predict(rest, l, wall)
-		out = append(out, lossOf(name, rest, l, uses, wall))
-		for k, free := range roomsOf(uses) {
-			if h := rooms[k]; k.region != name && free.Now < h.After {
+	for _, name := range lossScopes(r) {
+		lost := func(s registrar.Site) bool { return string(s) == name || s.Region() == name }
+		remaining := r.Without(lost)
+		uses := Predict(remaining, l, wall)
+		out = append(out, lossOf(name, remaining, l, uses, wall))
+		for k, free := range headroomByRegion(uses) {
+			if h := headroom[k]; k.region != name && free.Now < h.After {
 				h.After, h.Without = free.Now, name
 			}
 		}
 	}
-	return out, sorted(rooms)
+	return out, sortedHeadroom(headroom)
 }
 
-// places lists the regions and the failure domains of regions that have several.
-func places(r *resolver.Resolved) []string {
+// lossScopes lists the regions, and the failure domains of regions that have more than
+// one.
+func lossScopes(r *resolver.Resolved) []string {
 	count := map[string]int{}
 	for _, s := range r.Sites {
 		count[s.Region()]++
@@ -76,35 +78,35 @@
 	return out
 }
 
-func lossOf(name string, rest *resolver.Resolved, l Load, uses []Use, wall timekeeper.Millis) Loss {
-	x := Loss{Lost: name}
-	for _, service := range rest.Services {
-		if len(l.Work[service]) > 0 && len(openCapacity(rest, service, wall)) == 0 {
-			x.Unserved = append(x.Unserved, service)
+func lossOf(name string, remaining *resolver.Resolved, l Load, uses []Use, wall timekeeper.Millis) Loss {
+	loss := Loss{Lost: name}
+	for _, service := range remaining.Services {
+		if len(l.Work[service]) > 0 && len(availableCapacity(remaining, service, wall)) == 0 {
+			loss.Unserved = append(loss.Unserved, service)
 		}
 	}
 	for _, u := range uses {
 		if u.Slots > u.Limit && u.Slots > 0 {
-			x.Over = append(x.Over, u)
+			loss.Over = append(loss.Over, u)
 		}
 	}
-	return x
+	return loss
 }
 
-type roomKey struct {
+type headroomKey struct {
 	region  string
 	service resolver.ServiceName
 }
 
-// roomsOf adds the uses of sites up to regions.
-func roomsOf(uses []Use) map[roomKey]*Headroom {
-	limits, slots := map[roomKey]float64{}, map[roomKey]float64{}
+// headroomByRegion sums the use of sites by region and service.
+func headroomByRegion(uses []Use) map[headroomKey]*Headroom {
+	limits, slots := map[headroomKey]float64{}, map[headroomKey]float64{}
 	for _, u := range uses {
-		k := roomKey{u.Site.Region(), u.Service}
+		k := headroomKey{u.Site.Region(), u.Service}
 		limits[k] += u.Limit
 		slots[k] += u.Slots
 	}
-	out := map[roomKey]*Headroom{}
+	out := map[headroomKey]*Headroom{}
 	for k, limit := range limits {
 		if limit == 0 {
 			continue
@@ -115,9 +117,9 @@
 	return out
 }
 
-func sorted(rooms map[roomKey]*Headroom) []Headroom {
-	out := make([]Headroom, 0, len(rooms))
-	for _, h := range rooms {
+func sortedHeadroom(byKey map[headroomKey]*Headroom) []Headroom {
+	out := make([]Headroom, 0, len(byKey))
+	for _, h := range byKey {
 		out = append(out, *h)
 	}
 	slices.SortFunc(out, func(a, b Headroom) int {
--- a/internal/version/planner/loss_test.go
+++ b/internal/version/planner/loss_test.go
@@ -11,7 +11,8 @@
 	"github.com/gullvale/gullvale/pkg/registrar"
 )
 
-// lossTree has one service with 10 slots at each of four sites in two regions.
+// lossTree returns settings with one service and 10 slots at each of four sites in two
+// regions.
 func lossTree(t testing.TB) *resolver.Resolved {
 	t.Helper()
 	var edits []resolver.Edit
@@ -30,7 +31,7 @@
 func TestLosses(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// erie and michigan are the slots that the callers of each domain use.
+		// erie and michigan are the slots in use by the callers of each failure domain.
 		erie, michigan float64
 		covered        map[string]bool
 		now, after     float64
@@ -67,7 +68,7 @@
 
 func near(a, b float64) bool { return a-b < 0.02 && b-a < 0.02 }
 
-// TestUnservedLoss loses the only site of a service.
+// TestUnservedLoss predicts the loss of the only site of a service.
 func TestUnservedLoss(t *testing.T) {
 	is := is.New(t)
 	tree, problems := resolver.Tree{}.Apply([]resolver.Edit{{Path: "erie/a:s", Key: resolver.KeyUpstreams, Value: "10.1.0.1:80"}})
@@ -81,7 +82,7 @@
 	is.True(!losses[0].Covered())
 }
 
-// BenchmarkLosses tells what an operator's look at the headroom costs.
+// BenchmarkLosses measures the cost of one headroom query by an operator.
 func BenchmarkLosses(b *testing.B) {
 	for _, sites := range []int{6, 25, 75} {
 		b.Run(fmt.Sprint(sites), func(b *testing.B) {
--- a/internal/version/planner/mover.go
+++ b/internal/version/planner/mover.go
@@ -12,63 +12,66 @@
 )
 
 const (
-	// capMargin keeps a move below its cap in every window, the burst of one
-	// step included.
+	// capMargin keeps a move below its cap in every window, including the credit of one
+	// step that may have accumulated before the window.
 	capMargin = 0.95
 
-	// burst is how much time's worth of movement one step may hold.
-	burst = 2 * timekeeper.Second
+	// maxAccrual is the longest time for which unused credit accumulates, and so bounds
+	// the size of one step.
+	maxAccrual = 2 * timekeeper.Second
 
-	// settle is the least time between two steps of one route, so that the
-	// effect of the last can be seen.
-	settle = timekeeper.Second
+	// minStepInterval is the minimum time between two steps, so that the effect of one
+	// can be measured before the next.
+	minStepInterval = timekeeper.Second
 
-	// smallest is the least step worth a plan.
-	smallest = sharer.Whole / 10000
+	// minStep is the smallest step for which a new plan is issued.
+	minStep = sharer.Whole / 10000
 )
 
 type (
-	// Load is what was measured. It lags.
+	// Load is the measured load. It lags behind the actual load.
 	Load struct {
-		// Work is the slots in use by the requests of one origin for one
-		// service, on average.
+		// Work is the average number of slots in use, by service and origin.
 		Work map[resolver.ServiceName]Demand
-		// Stale lists the regions from which no fresh measurement came.
-		// Nothing moves anywhere while there is one: missing is not zero.
+		// Stale lists the regions without a recent measurement. While it is not empty,
+		// no traffic moves anywhere: a missing measurement does not mean zero load.
 		Stale []string
 	}
 
-	// Input is everything a step of the planner depends on.
+	// Input holds everything that a step of the planner depends on.
 	Input struct {
 		Settings *resolver.Resolved
 		Number   recorder.Number
 		Last     Plan
-		// InForce tells that all daemons run the last plan.
+		// InForce reports whether all daemons have acknowledged the last plan.
 		InForce bool
 		Load    Load
-		// Now is monotonic, Wall is for settings that name a time.
+		// Now is monotonic. Wall is the wall-clock time, for settings that contain a
+		// time.
 		Now  timekeeper.Millis
 		Wall timekeeper.Millis
 	}
 
-	// Mover moves plans towards their target in steps. The zero value is
-	// ready. It is for one goroutine.
+	// Mover moves plans towards their targets in steps. The zero value is ready for
+	// use. It is not safe for concurrent use.
 	Mover struct {
-		credit      map[key]float64
+		// credit is the fraction of its traffic that each route may still move now.
+		credit      map[routeKey]float64
 		shiftCredit map[shiftKey]float64
-		spill       spill
-		updated     timekeeper.Millis
-		stepped     timekeeper.Millis
-		// settled tells which services have all routes at their target.
-		settled map[resolver.ServiceName]bool
-		// work is the last demand that was measured whole.
-		work map[resolver.ServiceName]Demand
-		// target is where the traffic of each route is to go, as of this step.
-		target map[key]sharer.Division
+		spillover   spilloverState
+		lastAccrual timekeeper.Millis
+		lastStep    timekeeper.Millis
+		// converged reports for each service whether all of its routes are at their
+		// targets.
+		converged map[resolver.ServiceName]bool
+		// demand is the last complete measurement.
+		demand map[resolver.ServiceName]Demand
+		// targets is the target traffic split of each route in this step.
+		targets map[routeKey]sharer.Division
 	}
 )
 
-// Add adds the slots in use by the requests of an origin.
+// Add adds slots in use by the requests of an origin for a service.
 func (l *Load) Add(service resolver.ServiceName, origin registrar.Site, slots float64) {
 	if l.Work == nil {
 		l.Work = map[resolver.ServiceName]Demand{}
@@ -79,83 +82,85 @@
 	l.Work[service][origin] += slots
 }
 
-// Step returns the next plan, and whether it differs from the last. Its holds
-// say what waits and why.
+// Step returns the next plan and whether it differs from the last one. Its holds list
+// the moves that are held back and why.
 func (m *Mover) Step(in Input) (Plan, bool) {
-	m.begin(in)
-	m.accrue(in)
+	m.initialize(in)
+	m.accrueCredit(in)
 	next := in.Last
-	if in.Now-m.stepped >= settle {
-		next.Shifts = m.shiftAll(in)
+	if in.Now-m.lastStep >= minStepInterval {
+		next.Shifts = m.advanceShifts(in)
 	}
-	m.aim(in, next.Shifts)
+	m.computeTargets(in, next.Shifts)
 	next.Settings = in.Number
 	next.AtMillis = in.Wall
 	next.Routes = nil
 	next.Holds = nil
 	for _, service := range in.Settings.Services {
-		m.settled[service] = true
+		m.converged[service] = true
 		for _, origin := range in.Settings.Sites {
-			m.route(in, &next, key{service, origin})
+			m.addRoute(in, &next, routeKey{service, origin})
 		}
 	}
 	next.sort()
-	if sameRoutes(in.Last, next) {
+	if equalRoutes(in.Last, next) {
 		return next, !slices.Equal(in.Last.Holds, next.Holds) || !slices.Equal(in.Last.Shifts, next.Shifts)
 	}
 	next.Number++
-	m.stepped = in.Now
+	m.lastStep = in.Now
 	return next, true
 }
 
-func (m *Mover) begin(in Input) {
+func (m *Mover) initialize(in Input) {
 	if m.credit != nil {
 		return
 	}
-	m.credit = map[key]float64{}
+	m.credit = map[routeKey]float64{}
 	m.shiftCredit = map[shiftKey]float64{}
-	m.settled = map[resolver.ServiceName]bool{}
-	m.spill = spill{}
-	m.updated = in.Now
-	m.stepped = in.Now - settle
+	m.converged = map[resolver.ServiceName]bool{}
+	m.spillover = spilloverState{}
+	m.lastAccrual = in.Now
+	m.lastStep = in.Now - minStepInterval
 }
 
-// aim works out the target of every route. Without fresh measurements it goes by
-// the last that were whole, so that what spills stays as it is.
-func (m *Mover) aim(in Input, shifts []Progress) {
-	if m.work == nil || len(in.Load.Stale) == 0 {
-		m.work = in.Load.Work
+// computeTargets computes the target of every route. While measurements are missing it
+// uses the last complete ones, so that the spillover does not change.
+func (m *Mover) computeTargets(in Input, shifts []Progress) {
+	if m.demand == nil || len(in.Load.Stale) == 0 {
+		m.demand = in.Load.Work
 	}
-	m.target = map[key]sharer.Division{}
+	m.targets = map[routeKey]sharer.Division{}
 	for _, service := range in.Settings.Services {
-		for origin, d := range targets(in.Settings, service, m.work[service], in.Wall, shifts, m.spill) {
-			m.target[key{service, origin}] = d
+		for origin, d := range targets(in.Settings, service, m.demand[service], in.Wall, shifts, m.spillover) {
+			m.targets[routeKey{service, origin}] = d
 		}
 	}
 }
 
-// accrue adds to what each route may move.
-func (m *Mover) accrue(in Input) {
-	since := min(in.Now-m.updated, burst)
-	m.updated = in.Now
+// accrueCredit adds the credit of every route and shift for the time since the last
+// step.
+func (m *Mover) accrueCredit(in Input) {
+	since := min(in.Now-m.lastAccrual, maxAccrual)
+	m.lastAccrual = in.Now
 	for _, service := range in.Settings.Services {
 		for _, origin := range in.Settings.Sites {
-			k := key{service, origin}
-			m.credit[k] = grown(m.credit[k], in.Settings.At(origin, service).MoveCap*capMargin, since)
+			k := routeKey{service, origin}
+			m.credit[k] = accrued(m.credit[k], in.Settings.At(origin, service).MoveCap*capMargin, since)
 		}
 	}
-	m.accrueShifts(in, since)
+	m.accrueShiftCredit(in, since)
 }
 
-// route adds the route of k to next, moved by as much as is allowed now.
-func (m *Mover) route(in Input, next *Plan, k key) {
-	target := m.target[k]
-	have, ok := in.Last.Route(k.service, k.origin)
+// addRoute adds the route of k to next, moved towards its target as far as is allowed
+// now.
+func (m *Mover) addRoute(in Input, next *Plan, k routeKey) {
+	target := m.targets[k]
+	current, ok := in.Last.Route(k.service, k.origin)
 	if target == nil {
-		// Nowhere to go. What is in force stays.
+		// No site is available. The route in force is kept.
 		if ok {
-			next.Routes = append(next.Routes, Route{k.service, k.origin, have})
-			next.Holds = append(next.Holds, Hold{k.service, k.origin, "no site takes the service"})
+			next.Routes = append(next.Routes, Route{k.service, k.origin, current})
+			next.Holds = append(next.Holds, Hold{k.service, k.origin, "no site accepts traffic for the service"})
 		}
 		return
 	}
@@ -163,49 +168,52 @@
 		next.Routes = append(next.Routes, Route{k.service, k.origin, target})
 		return
 	}
-	to := have
-	if have.Distance(target) > 0 {
-		step, reason := m.step(in, next, k, have, target)
+	split := current
+	if current.Distance(target) > 0 {
+		step, reason := m.step(in, next, k, current, target)
 		if reason != "" {
 			next.Holds = append(next.Holds, Hold{k.service, k.origin, reason})
 		}
-		to = step
+		split = step
 	}
-	if to.Distance(target) > smallest {
-		m.settled[k.service] = false
+	if split.Distance(target) > minStep {
+		m.converged[k.service] = false
 	}
-	next.Routes = append(next.Routes, Route{k.service, k.origin, to})
+	next.Routes = append(next.Routes, Route{k.service, k.origin, split})
 }
 
-// step returns the division after one step, or the present one and why.
-func (m *Mover) step(in Input, next *Plan, k key, have, target sharer.Division) (sharer.Division, string) {
+// step returns the traffic split after one step towards target, or the current one and
+// the reason why it is held back. The reason is empty when the route only has to wait
+// for the interval or for credit.
+func (m *Mover) step(in Input, next *Plan, k routeKey, current, target sharer.Division) (sharer.Division, string) {
 	if !in.InForce {
-		return have, "waits until the last step is in force everywhere"
+		return current, "the last plan is not in force on all daemons yet"
 	}
 	if len(in.Load.Stale) > 0 {
-		return have, fmt.Sprintf("no fresh measurement from %s", in.Load.Stale[0])
+		return current, fmt.Sprintf("no fresh measurement from %s", in.Load.Stale[0])
 	}
-	if in.Now-m.stepped < settle {
-		return have, ""
+	if in.Now-m.lastStep < minStepInterval {
+		return current, ""
 	}
 	size := sharer.FromFraction(m.credit[k])
-	if size < smallest {
-		return have, ""
+	if size < minStep {
+		return current, ""
 	}
-	to := have.Toward(target, size)
-	if reason := overload(in, next, k, to); reason != "" {
-		return have, reason
+	to := current.Toward(target, size)
+	if reason := overloadReason(in, next, k, to); reason != "" {
+		return current, reason
 	}
-	m.credit[k] -= have.Distance(to).Fraction()
+	m.credit[k] -= current.Distance(to).Fraction()
 	return to, ""
 }
 
-// overload says which site would exceed its limit if the route of k became to,
-// with every other route at the larger of its last and next share.
-func overload(in Input, next *Plan, k key, to sharer.Division) string {
-	have, _ := in.Last.Route(k.service, k.origin)
+// overloadReason names a site that would exceed its limit if the route of k were
+// changed to to, with every other route counted at the larger of its last and next
+// share. It is empty if there is none.
+func overloadReason(in Input, next *Plan, k routeKey, to sharer.Division) string {
+	current, _ := in.Last.Route(k.service, k.origin)
 	for _, p := range to {
-		if p.Share <= have.Of(p.Site) {
+		if p.Share <= current.Of(p.Site) {
 			continue
 		}
 		site := registrar.Site(p.Site)
@@ -214,7 +222,7 @@
 			return fmt.Sprintf("%s is not in the settings", site)
 		}
 		limit := float64(s.Capacity()) * s.Limit
-		use := predicted(in, next, k, to, site)
+		use := predictedUse(in, next, k, to, site)
 		if use > limit {
 			return fmt.Sprintf("%s would need %.0f of the %.0f slots it may fill", site, use, limit)
 		}
@@ -222,13 +230,13 @@
 	return ""
 }
 
-// predicted is the slots in use at site while daemons run the last plan or the
-// next in any mix.
-func predicted(in Input, next *Plan, k key, to sharer.Division, site registrar.Site) float64 {
+// predictedUse returns the slots in use at site while daemons route by any mix of the
+// last plan and the next.
+func predictedUse(in Input, next *Plan, k routeKey, to sharer.Division, site registrar.Site) float64 {
 	var use float64
 	for origin, w := range in.Load.Work[k.service] {
-		have, _ := in.Last.Nearest(k.service, origin)
-		share := have.Of(string(site))
+		current, _ := in.Last.Nearest(k.service, origin)
+		share := current.Of(string(site))
 		if origin == k.origin {
 			share = max(share, to.Of(string(site)))
 		} else {
@@ -239,8 +247,8 @@
 	return use
 }
 
-// shareIn is the share of site in a plan that is still being put together: its
-// routes are not sorted yet, so the plan itself cannot be asked.
+// shareIn returns the share of site for an origin in a plan under construction. Its
+// routes are not sorted yet, so Plan.Nearest cannot be used.
 func shareIn(p *Plan, service resolver.ServiceName, origin, site registrar.Site) sharer.Share {
 	var nearest sharer.Share
 	for _, r := range p.Routes {
--- a/internal/version/planner/mover_test.go
+++ b/internal/version/planner/mover_test.go
@@ -16,8 +16,8 @@
 
 const service = "s"
 
-// world is settings, load and time of a planner without anything around it.
-type world struct {
+// fixture drives a Mover with settings, load and time that the test controls.
+type fixture struct {
 	tree  resolver.Tree
 	mover planner.Mover
 	last  planner.Plan
@@ -25,8 +25,8 @@
 	now   timekeeper.Millis
 }
 
-// newWorld has three regions of two sites, each with servers × 4 slots.
-func newWorld(servers int) *world {
+// newFixture returns three regions of two sites each; a site has servers × 4 slots.
+func newFixture(servers int) *fixture {
 	var edits []resolver.Edit
 	for i, r := range []string{"p", "q", "r"} {
 		for j, d := range []string{"a", "b"} {
@@ -41,12 +41,12 @@
 	if len(problems) > 0 {
 		panic(problems)
 	}
-	w := &world{tree: tree, now: 1000}
+	w := &fixture{tree: tree, now: 1000}
 	w.load.Work = map[resolver.ServiceName]planner.Demand{service: {}}
 	return w
 }
 
-func (w *world) set(edits ...resolver.Edit) {
+func (w *fixture) set(edits ...resolver.Edit) {
 	next, problems := w.tree.Apply(edits)
 	if len(problems) > 0 {
 		panic(problems)
@@ -54,7 +54,7 @@
 	w.tree = next
 }
 
-func (w *world) input(inForce bool) planner.Input {
+func (w *fixture) input(inForce bool) planner.Input {
 	return planner.Input{
 		Settings: w.tree.Resolve(),
 		Last:     w.last,
@@ -65,8 +65,8 @@
 	}
 }
 
-// step makes a step and returns the plan before it.
-func (w *world) step(inForce bool) planner.Plan {
+// step runs one step and returns the plan before it.
+func (w *fixture) step(inForce bool) planner.Plan {
 	before := w.last
 	next, _ := w.mover.Step(w.input(inForce))
 	w.last = next
@@ -74,12 +74,12 @@
 	return before
 }
 
-func (w *world) share(p planner.Plan, origin, site registrar.Site) float64 {
+func (w *fixture) share(p planner.Plan, origin, site registrar.Site) float64 {
 	d, _ := p.Route(service, origin)
 	return d.Of(string(site)).Fraction()
 }
 
-func (w *world) regionShare(p planner.Plan, origin registrar.Site, region string) float64 {
+func (w *fixture) regionShare(p planner.Plan, origin registrar.Site, region string) float64 {
 	var t float64
 	for _, s := range w.tree.Resolve().Sites {
 		if s.Region() == region {
@@ -91,21 +91,21 @@
 
 func TestDrainEmptiesASite(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(5)
+	w := newFixture(5)
 	w.step(true)
 	is.Equal(w.share(w.last, "p/a", "p/b"), 0.5)
 	w.set(resolver.Edit{Path: "p/b", Key: resolver.KeyDrain, Value: "true"})
 	began := w.now
 	for w.share(w.last, "p/a", "p/b") > 0 {
 		w.step(true)
-		is.True(w.now-began < 20*timekeeper.Second) // it ends
+		is.True(w.now-began < 20*timekeeper.Second) // the drain completes
 	}
 	is.Equal(w.share(w.last, "p/a", "p/a"), 1.0)
 }
 
 func TestNothingMovesWithoutMeasurements(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(5)
+	w := newFixture(5)
 	w.step(true)
 	w.set(resolver.Edit{Path: "p/b", Key: resolver.KeyDrain, Value: "true"})
 	w.load.Stale = []string{"q"}
@@ -124,7 +124,7 @@
 
 func TestDrainStopsBeforeOverload(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(5) // 20 slots a site, 17 of them to be filled
+	w := newFixture(5) // 20 slots per site, at most 17 in use
 	for _, s := range w.tree.Resolve().Sites {
 		w.load.Work[service][s] = 16
 	}
@@ -141,7 +141,7 @@
 
 func TestSpillFillsRoomElsewhere(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(5)
+	w := newFixture(5)
 	for _, s := range w.tree.Resolve().Sites {
 		w.load.Work[service][s] = 10
 	}
@@ -156,10 +156,10 @@
 	is.Equal(len(planner.Check(w.tree.Resolve(), w.load, w.now)), 0)
 }
 
-// TestShiftComesBack ends a shift, after which the plan is the one before it.
+// TestShiftComesBack removes a shift and expects the plan that preceded it.
 func TestShiftComesBack(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(5)
+	w := newFixture(5)
 	w.step(true)
 	before := w.last.Routes
 	shift := []resolver.Edit{
@@ -181,13 +181,13 @@
 	is.Equal(len(w.last.Shifts), 0)
 }
 
-// TestMixesStayWithinLimits draws loads, shifts, drains, pauses and lags, and
-// asserts after each step: with any mix of daemons on the last plan and on the
-// next, no site that was within its limit gets beyond it, and no shift moves
-// more in a minute than its cap.
+// TestMixesStayWithinLimits generates loads, shifts, drains, pauses and delayed
+// acknowledgements. After each step, with daemons on any mix of the last plan and the
+// next, no site that gains traffic may exceed its limit, and no shift may move more per
+// minute than its cap.
 func TestMixesStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(1, 6).Draw(t, "servers"))
+		w := newFixture(rapid.IntRange(1, 6).Draw(t, "servers"))
 		sites := w.tree.Resolve().Sites
 		for _, s := range sites {
 			w.load.Work[service][s] = float64(rapid.IntRange(0, 24).Draw(t, "work"))
@@ -226,7 +226,8 @@
 	moved float64
 }
 
-// checkCap compares with every point of the last minute, and returns these.
+// checkCap compares the last progress with every earlier one of the last minute, and
+// returns those of the last minute.
 func checkCap(t *rapid.T, moved []progressAt, limit float64) []progressAt {
 	last := moved[len(moved)-1]
 	for len(moved) > 1 && last.at-moved[0].at > timekeeper.Minute {
@@ -238,7 +239,7 @@
 	return moved
 }
 
-func checkMix(t *rapid.T, w *world, before planner.Plan) {
+func checkMix(t *rapid.T, w *fixture, before planner.Plan) {
 	r := w.tree.Resolve()
 	for _, site := range r.Sites {
 		var was, mixed float64
--- a/internal/version/planner/plan.go
+++ b/internal/version/planner/plan.go
@@ -15,73 +15,74 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// ObjectName is the name of the object that holds the plan.
+// ObjectName is the name of the stored object that holds the plan.
 const ObjectName = "Plan/Current"
 
 type (
-	// Number numbers plans. It only grows.
+	// Number is the sequence number of a plan. It only increases.
 	Number uint64
 
-	// Plan says, for each service and origin, how traffic divides among sites.
+	// Plan is the traffic split of every service and origin.
 	Plan struct {
 		Number   Number
 		Fence    leaser.Fence
 		Settings recorder.Number
 		AtMillis timekeeper.Millis
 		Routes   []Route
-		// Shifts is how far each shift has come. Targets follow it, so the cap
-		// of a shift bounds the shift and nothing else that moves.
+		// Shifts is the progress of each shift. Targets are computed from it, so the
+		// cap of a shift limits only the traffic that the shift itself moves.
 		Shifts []Progress `json:",omitempty"`
-		// Holds says, for people, why a move waits.
+		// Holds lists the moves that are held back, with reasons for the operator.
 		Holds []Hold `json:",omitempty"`
 	}
 
-	// Route is the division of one origin's requests for one service.
+	// Route is the traffic split of one service for the requests of one origin.
 	Route struct {
 		Service  resolver.ServiceName
 		Origin   registrar.Site
 		Division sharer.Division
 	}
 
-	// Progress is how far a shift has come. It outlives the shift in the
-	// settings until all has gone back.
+	// Progress is the progress of one shift. It remains after the shift is removed from
+	// the settings until all of its traffic has moved back.
 	Progress struct {
 		Service resolver.ServiceName
 		From    string
 		To      string
-		// Moved is the part of the traffic of From that is moved.
+		// Moved is the fraction of the traffic of From that has moved.
 		Moved float64
-		// Cap is the part that may move in a minute.
+		// Cap is the largest fraction that may move per minute.
 		Cap float64
 	}
 
-	// Hold is a move that waits.
+	// Hold is a move that is held back, and why.
 	Hold struct {
 		Service resolver.ServiceName
 		Origin  registrar.Site
 		Reason  string
 	}
 
-	// key names a route.
-	key struct {
+	// routeKey identifies a route.
+	routeKey struct {
 		service resolver.ServiceName
 		origin  registrar.Site
 	}
 )
 
-// Decode reads a plan object.
+// Decode decodes a plan from the body of its stored object.
 func Decode(body []byte) (Plan, error) {
 	var p Plan
 	err := packer.Unpack(body, &p)
 	return p, eris.Wrap(err, "plan")
 }
 
-// Encode writes a plan object.
+// Encode returns the body of the stored object for p.
 func (p Plan) Encode() ([]byte, error) {
 	return packer.Pack(p)
 }
 
-// Shift returns how far a shift has come.
+// Shift returns the progress of a shift. A shift that p does not contain has moved
+// nothing.
 func (p Plan) Shift(s resolver.ServiceName, from, to string) Progress {
 	for _, x := range p.Shifts {
 		if x.Service == s && x.From == from && x.To == to {
@@ -91,10 +92,11 @@
 	return Progress{Service: s, From: from, To: to}
 }
 
-// Route returns the division for a service and origin.
+// Route returns the traffic split for a service and origin, and whether the plan
+// contains one.
 func (p Plan) Route(s resolver.ServiceName, origin registrar.Site) (sharer.Division, bool) {
-	i, ok := slices.BinarySearchFunc(p.Routes, key{s, origin}, func(r Route, k key) int {
-		return compareKeys(key{r.Service, r.Origin}, k)
+	i, ok := slices.BinarySearchFunc(p.Routes, routeKey{s, origin}, func(r Route, k routeKey) int {
+		return compareKeys(routeKey{r.Service, r.Origin}, k)
 	})
 	if !ok {
 		return nil, false
@@ -102,8 +104,8 @@
 	return p.Routes[i].Division, true
 }
 
-// Nearest returns the division for a service and origin, or for an origin that the
-// plan does not know, that of another in its region.
+// Nearest returns the traffic split for a service and origin. For an origin that the
+// plan does not contain, it returns that of another origin in the same region.
 func (p Plan) Nearest(s resolver.ServiceName, origin registrar.Site) (sharer.Division, bool) {
 	if d, ok := p.Route(s, origin); ok {
 		return d, true
@@ -118,19 +120,19 @@
 
 func (p *Plan) sort() {
 	slices.SortFunc(p.Routes, func(a, b Route) int {
-		return compareKeys(key{a.Service, a.Origin}, key{b.Service, b.Origin})
+		return compareKeys(routeKey{a.Service, a.Origin}, routeKey{b.Service, b.Origin})
 	})
 }
 
-func compareKeys(a, b key) int {
+func compareKeys(a, b routeKey) int {
 	if c := strings.Compare(string(a.service), string(b.service)); c != 0 {
 		return c
 	}
 	return strings.Compare(string(a.origin), string(b.origin))
 }
 
-// sameRoutes tells whether two plans steer alike.
-func sameRoutes(a, b Plan) bool {
+// equalRoutes reports whether two plans route traffic identically.
+func equalRoutes(a, b Plan) bool {
 	return slices.EqualFunc(a.Routes, b.Routes, func(x, y Route) bool {
 		return x.Service == y.Service && x.Origin == y.Origin && slices.Equal(x.Division, y.Division)
 	})
--- a/internal/version/planner/shift.go
+++ b/internal/version/planner/shift.go
@@ -8,8 +8,9 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// leastMoved is the progress below which a shift that was taken back is over.
-const leastMoved = 1e-6
+// minMoved is the progress below which a shift that is no longer in the settings is
+// complete.
+const minMoved = 1e-6
 
 type shiftKey struct {
 	service resolver.ServiceName
@@ -17,9 +18,9 @@
 	to      string
 }
 
-// wantedShifts is every shift in the settings or under way, with the share that
-// it is to reach.
-func wantedShifts(r *resolver.Resolved, last Plan) map[shiftKey]resolver.Shift {
+// shiftTargets returns every shift that is in the settings or in progress, with its
+// target share. The target of a shift that is no longer in the settings is 0.
+func shiftTargets(r *resolver.Resolved, last Plan) map[shiftKey]resolver.Shift {
 	out := map[shiftKey]resolver.Shift{}
 	for _, p := range last.Shifts {
 		out[shiftKey{p.Service, p.From, p.To}] = resolver.Shift{Service: p.Service, From: p.From, To: p.To, Cap: p.Cap}
@@ -30,18 +31,18 @@
 	return out
 }
 
-// shiftAll moves every shift towards its share by what its cap allows. A shift
-// goes on only once all routes of its service have come where they are to be,
-// so that held steps are not made up for at once.
-func (m *Mover) shiftAll(in Input) []Progress {
+// advanceShifts moves every shift towards its target share as far as its cap allows. A
+// shift advances only when all routes of its service have reached their targets;
+// otherwise steps that were held back would be made up for all at once.
+func (m *Mover) advanceShifts(in Input) []Progress {
 	var out []Progress
-	for k, want := range wantedShifts(in.Settings, in.Last) {
+	for k, target := range shiftTargets(in.Settings, in.Last) {
 		p := in.Last.Shift(k.service, k.from, k.to)
-		p.Cap = want.Cap
-		if in.InForce && len(in.Load.Stale) == 0 && m.settled[k.service] {
-			p.Moved += m.shiftStep(k, want.Share-p.Moved)
+		p.Cap = target.Cap
+		if in.InForce && len(in.Load.Stale) == 0 && m.converged[k.service] {
+			p.Moved += m.spendShiftCredit(k, target.Share-p.Moved)
 		}
-		if want.Share == 0 && p.Moved < leastMoved {
+		if target.Share == 0 && p.Moved < minMoved {
 			delete(m.shiftCredit, k)
 			continue
 		}
@@ -53,23 +54,25 @@
 	return out
 }
 
-// shiftStep spends credit on a part of the way that is left.
-func (m *Mover) shiftStep(k shiftKey, left float64) float64 {
-	step := min(max(left, -m.shiftCredit[k]), m.shiftCredit[k])
+// spendShiftCredit returns how far a shift may move of the distance that remains, and
+// deducts that from its credit.
+func (m *Mover) spendShiftCredit(k shiftKey, remaining float64) float64 {
+	step := min(max(remaining, -m.shiftCredit[k]), m.shiftCredit[k])
 	m.shiftCredit[k] -= max(step, -step)
 	return step
 }
 
-// accrueShifts adds to what each shift may move.
-func (m *Mover) accrueShifts(in Input, since timekeeper.Millis) {
-	for k, s := range wantedShifts(in.Settings, in.Last) {
-		m.shiftCredit[k] = grown(m.shiftCredit[k], s.Cap*capMargin, since)
+// accrueShiftCredit adds the credit of every shift for the time in since.
+func (m *Mover) accrueShiftCredit(in Input, since timekeeper.Millis) {
+	for k, s := range shiftTargets(in.Settings, in.Last) {
+		m.shiftCredit[k] = accrued(m.shiftCredit[k], s.Cap*capMargin, since)
 	}
 }
 
-// grown adds the movement of a span to a credit, up to that of one burst.
-func grown(credit, perMinute float64, since timekeeper.Millis) float64 {
+// accrued returns credit increased at a rate per minute for the time in since, at most
+// to the amount that accrues in maxAccrual.
+func accrued(credit, perMinute float64, since timekeeper.Millis) float64 {
 	minutes := float64(since) / float64(timekeeper.Minute)
-	most := perMinute * float64(burst) / float64(timekeeper.Minute)
+	most := perMinute * float64(maxAccrual) / float64(timekeeper.Minute)
 	return min(credit+perMinute*minutes, most)
 }
--- a/internal/version/planner/target.go
+++ b/internal/version/planner/target.go
@@ -10,99 +10,103 @@
 )
 
 const (
-	// fill is up to which part of its limit a region is filled before traffic
-	// spills to others.
-	fill = 0.94
-
-	// spillSteps is how finely the part that spills is adjusted. Load is noisy,
-	// and every adjustment moves callers to caches that do not know them.
-	spillSteps = 16
-
-	// spillSlack is how many steps less must be needed before less spills.
-	spillSlack = 2
+	// maxFill is the fraction of its limit to which a region is filled before its
+	// traffic spills over to other regions.
+	maxFill = 0.94
+
+	// spilloverSteps is the number of steps in which the spillover fraction is
+	// adjusted. The steps are coarse because load is noisy and every adjustment moves
+	// callers to upstreams whose caches are cold for them.
+	spilloverSteps = 16
+
+	// spilloverHysteresis is the largest decrease of the need, in steps, that does not
+	// yet reduce the spillover.
+	spilloverHysteresis = 2
 )
 
 type (
-	// Demand is the slots in use by the requests of each origin for one
-	// service.
+	// Demand is the average number of slots in use for one service, by origin of the
+	// requests.
 	Demand map[registrar.Site]float64
 
-	// weights are shares of one origin that need not add to anything.
+	// weights are the relative weights of sites. They need not add up to 1.
 	weights map[registrar.Site]float64
 
-	// spill is the part of a region's traffic that goes elsewhere, in steps.
-	spill map[spillKey]int
+	// spilloverState holds the fraction of traffic that spills over, in steps of
+	// 1/spilloverSteps, for each service and region.
+	spilloverState map[spilloverKey]int
 
-	spillKey struct {
+	spilloverKey struct {
 		service resolver.ServiceName
 		region  string
 	}
 
-	// regionRoom is what a region may carry and does.
-	regionRoom struct {
-		open weights
-		may  float64
-		use  float64
+	// regionLoad holds the capacity of a region and its load, in slots.
+	regionLoad struct {
+		sites weights // capacity of the available sites
+		limit float64
+		used  float64
 	}
 )
 
-// Targets works out targets without measurements, and remembers what they have in
-// common. The zero value is ready; it serves one service.
+// Targets computes traffic splits without measurements for one service, and caches them
+// by region. The zero value is ready for use.
 type Targets struct {
-	open     weights
+	capacity weights
 	byRegion map[string]sharer.Division
 }
 
-// Of is where the traffic of one origin is to go as far as settings alone tell: to
-// the sites of its own region in proportion to their capacity, to all other
-// regions when its own has none left. A fresh deployment steers by it until there
-// is a plan, from which shifts then begin.
-func (t *Targets) Of(r *resolver.Resolved, service resolver.ServiceName, origin registrar.Site, wall timekeeper.Millis) sharer.Division {
-	if t.open == nil {
-		t.open = openCapacity(r, service, wall)
+// Split returns the target traffic split of one origin as far as it follows from the
+// settings alone: the sites of its own region in proportion to their capacity, or those
+// of all regions when its own has no capacity. A new deployment routes by it until the
+// first plan exists; that plan starts from the same split.
+func (t *Targets) Split(r *resolver.Resolved, service resolver.ServiceName, origin registrar.Site, wall timekeeper.Millis) sharer.Division {
+	if t.capacity == nil {
+		t.capacity = availableCapacity(r, service, wall)
 		t.byRegion = map[string]sharer.Division{}
 	}
 	d, ok := t.byRegion[origin.Region()]
 	if !ok {
-		d = sharer.Proportional(target(t.open, service, origin, nil))
+		d = sharer.Proportional(originWeights(t.capacity, service, origin, nil))
 		t.byRegion[origin.Region()] = d
 	}
 	return d
 }
 
-// targets is where the traffic of all origins is to go with shifts as far as
-// they have come, and with what exceeds the room of a region spilling to those
-// that have some. Without demand nothing spills.
-func targets(r *resolver.Resolved, service resolver.ServiceName, d Demand, wall timekeeper.Millis, shifts []Progress, s spill) map[registrar.Site]sharer.Division {
-	open := openCapacity(r, service, wall)
-	wanted := map[registrar.Site]weights{}
+// targets returns the target traffic split of every origin, with the shifts at the
+// progress given in shifts. Load beyond the limit of a region spills over to regions
+// with spare capacity; without demand nothing spills over.
+func targets(r *resolver.Resolved, service resolver.ServiceName, d Demand, wall timekeeper.Millis, shifts []Progress, s spilloverState) map[registrar.Site]sharer.Division {
+	available := availableCapacity(r, service, wall)
+	splits := map[registrar.Site]weights{}
 	for _, origin := range r.Sites {
-		wanted[origin] = target(open, service, origin, shifts)
+		splits[origin] = originWeights(available, service, origin, shifts)
 	}
-	spillOver(regionRooms(r, service, open, wanted, d), service, wanted, s)
+	applySpillover(regionLoads(r, service, available, splits, d), service, splits, s)
 	out := map[registrar.Site]sharer.Division{}
-	for origin, w := range wanted {
+	for origin, w := range splits {
 		out[origin] = sharer.Proportional(w)
 	}
 	return out
 }
 
-func target(open weights, service resolver.ServiceName, origin registrar.Site, shifts []Progress) weights {
-	w := open.in(origin.Region())
+func originWeights(available weights, service resolver.ServiceName, origin registrar.Site, shifts []Progress) weights {
+	w := available.inRegion(origin.Region())
 	if len(w) == 0 {
-		w = open.in("")
+		w = available.inRegion("")
 	}
-	w = w.normal()
+	w = w.normalized()
 	for _, s := range shifts {
 		if s.Service == service {
-			w.move(s.From, open.in(s.To), s.Moved)
+			w.move(s.From, available.inRegion(s.To), s.Moved)
 		}
 	}
 	return w
 }
 
-// openCapacity returns the capacity of each site that takes the service.
-func openCapacity(r *resolver.Resolved, service resolver.ServiceName, wall timekeeper.Millis) weights {
+// availableCapacity returns the capacity, in slots, of each site that accepts traffic
+// for the service.
+func availableCapacity(r *resolver.Resolved, service resolver.ServiceName, wall timekeeper.Millis) weights {
 	out := weights{}
 	for _, site := range r.Sites {
 		s := r.At(site, service)
@@ -114,72 +118,74 @@
 	return out
 }
 
-// regionRooms adds up, for each region with open sites, what it may carry and
-// what it would.
-func regionRooms(r *resolver.Resolved, service resolver.ServiceName, open weights, wanted map[registrar.Site]weights, d Demand) map[string]*regionRoom {
-	rooms := map[string]*regionRoom{}
-	for site, capacity := range open {
-		room := rooms[site.Region()]
-		if room == nil {
-			room = &regionRoom{open: open.in(site.Region())}
-			rooms[site.Region()] = room
+// regionLoads returns the limit and the expected load of each region that has available
+// sites.
+func regionLoads(r *resolver.Resolved, service resolver.ServiceName, available weights, splits map[registrar.Site]weights, d Demand) map[string]*regionLoad {
+	loads := map[string]*regionLoad{}
+	for site, capacity := range available {
+		load := loads[site.Region()]
+		if load == nil {
+			load = &regionLoad{sites: available.inRegion(site.Region())}
+			loads[site.Region()] = load
 		}
-		room.may += capacity * r.At(site, service).Limit * fill
+		load.limit += capacity * r.At(site, service).Limit * maxFill
 	}
-	for origin, w := range wanted {
+	for origin, w := range splits {
 		for site, share := range w {
-			rooms[site.Region()].use += d[origin] * share
+			loads[site.Region()].used += d[origin] * share
 		}
 	}
-	return rooms
+	return loads
 }
 
-// spillOver moves what is too much for a region to regions with room, to each in
-// proportion to its room.
-func spillOver(rooms map[string]*regionRoom, service resolver.ServiceName, wanted map[registrar.Site]weights, s spill) {
-	room := weights{}
+// applySpillover moves the load beyond the limit of a region to the regions with spare
+// capacity, in proportion to that capacity.
+func applySpillover(loads map[string]*regionLoad, service resolver.ServiceName, splits map[registrar.Site]weights, s spilloverState) {
+	spare := weights{}
 	var total float64
-	for _, x := range rooms {
-		if free := x.may - x.use; free > 0 {
+	for _, load := range loads {
+		if free := load.limit - load.used; free > 0 {
 			total += free
-			for site, w := range x.open.normal() {
-				room[site] = free * w
+			for site, w := range load.sites.normalized() {
+				spare[site] = free * w
 			}
 		}
 	}
 	if total == 0 {
 		return
 	}
-	for region, x := range rooms {
-		part := s.adjust(spillKey{service, region}, x)
-		if part == 0 {
+	for region, load := range loads {
+		fraction := s.fraction(spilloverKey{service, region}, load)
+		if fraction == 0 {
 			continue
 		}
-		for _, w := range wanted {
-			w.move(region, room, part)
+		for _, w := range splits {
+			w.move(region, spare, fraction)
 		}
 	}
 }
 
-// adjust returns the part of a region's traffic that spills. It grows as soon
-// as that is needed and shrinks only when clearly less is.
-func (s spill) adjust(k spillKey, x *regionRoom) float64 {
+// fraction returns the fraction of a region's traffic that spills over. It increases as
+// soon as necessary, and decreases only when the need is lower by more than
+// spilloverHysteresis steps. With a nil state there is no hysteresis.
+func (s spilloverState) fraction(k spilloverKey, load *regionLoad) float64 {
 	need := 0
-	if x.use > x.may {
-		need = int(math.Ceil((1 - x.may/x.use) * spillSteps))
+	if load.used > load.limit {
+		need = int(math.Ceil((1 - load.limit/load.used) * spilloverSteps))
 	}
 	if s == nil {
-		return float64(need) / spillSteps
+		return float64(need) / spilloverSteps
 	}
-	if have := s[k]; need < have && need >= have-spillSlack && have > spillSlack {
-		need = have
+	if current := s[k]; need < current && need >= current-spilloverHysteresis && current > spilloverHysteresis {
+		need = current
 	}
 	s[k] = need
-	return float64(need) / spillSteps
+	return float64(need) / spilloverSteps
 }
 
-// in returns the weights of a region, or all of them for "".
-func (w weights) in(region string) weights {
+// inRegion returns the weights of the sites in a region, or all weights if region is
+// empty.
+func (w weights) inRegion(region string) weights {
 	out := weights{}
 	for site, x := range w {
 		if region == "" || site.Region() == region {
@@ -189,8 +195,8 @@
 	return out
 }
 
-// normal returns w scaled to add to 1.
-func (w weights) normal() weights {
+// normalized returns w scaled to a sum of 1.
+func (w weights) normalized() weights {
 	var sum float64
 	for _, x := range w {
 		sum += x
@@ -202,20 +208,20 @@
 	return out
 }
 
-// move takes a part of what lies in a region to the sites of another. With
-// nowhere to go it stays.
-func (w weights) move(from string, to weights, part float64) {
+// move moves a fraction of the weight of region from to the sites of to. If to is
+// empty, nothing moves.
+func (w weights) move(from string, to weights, fraction float64) {
 	if len(to) == 0 {
 		return
 	}
 	var moved float64
 	for site, x := range w {
 		if site.Region() == from {
-			moved += x * part
-			w[site] = x * (1 - part)
+			moved += x * fraction
+			w[site] = x * (1 - fraction)
 		}
 	}
-	for site, x := range to.normal() {
+	for site, x := range to.normalized() {
 		w[site] += moved * x
 	}
 }
--- a/internal/version/replicator/replica.go
+++ b/internal/version/replicator/replica.go
@@ -15,7 +15,7 @@
 	// lock but for its own order. Nil means nobody wants to know.
 	Changed func([]storer.Object)
 
-	order sync.Mutex
+	callbackOrder sync.Mutex
 
 	lock     sync.Mutex
 	objects  map[string]storer.Object
@@ -25,16 +25,16 @@
 // Put adds a batch: all changes up to its revision. It returns the objects that
 // are new here.
 func (r *Replica) Put(b storer.Batch) []storer.Object {
-	r.order.Lock()
-	defer r.order.Unlock()
-	fresh := r.store(b)
+	r.callbackOrder.Lock()
+	defer r.callbackOrder.Unlock()
+	fresh := r.merge(b)
 	if len(fresh) > 0 && r.Changed != nil {
 		r.Changed(fresh)
 	}
 	return fresh
 }
 
-func (r *Replica) store(b storer.Batch) []storer.Object {
+func (r *Replica) merge(b storer.Batch) []storer.Object {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if r.objects == nil {
--- a/internal/version/resolver/check.go
+++ b/internal/version/resolver/check.go
@@ -13,11 +13,11 @@
 		name := p.String() + " " + string(k)
 		out = append(out, parser.Problem{Position: positions[name], Path: name, Text: fmt.Sprintf(text, args...)})
 	}
-	places := t.placesWithUpstreams()
+	places := t.regionsWithUpstreams()
 	owners := map[string]Path{}
 	for _, p := range t.Paths() {
 		t.checkShift(p, places, report)
-		t.checkUntil(p, report)
+		t.checkDrainUntil(p, report)
 		t.checkUpstreams(p, owners, report)
 	}
 	t.checkHosts(report)
@@ -26,7 +26,7 @@
 
 type reporter func(p Path, k Key, text string, args ...any)
 
-func (t Tree) placesWithUpstreams() map[Path]bool {
+func (t Tree) regionsWithUpstreams() map[Path]bool {
 	m := map[Path]bool{}
 	for p, n := range t.nodes {
 		if n[KeyUpstreams] != "" {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (t Tree) checkUntil(p Path, report reporter) {
+func (t Tree) checkDrainUntil(p Path, report reporter) {
 	n := t.nodes[p]
 	if _, ok := n[KeyDrainUntil]; ok && n[KeyDrain] != "true" {
 		report(p, KeyDrainUntil, "needs %s = true at the same path", KeyDrain)
--- a/internal/version/resolver/key.go
+++ b/internal/version/resolver/key.go
@@ -42,27 +42,27 @@
 )
 
 const (
-	atRoot level = 1 << iota
-	atRegion
-	atDomain
-	atService
-	atRegionService
-	atDomainService
+	levelRoot level = 1 << iota
+	levelRegion
+	levelDomain
+	levelService
+	levelRegionService
+	levelDomainService
 
-	anywhere = atRoot | atRegion | atDomain | atService | atRegionService | atDomainService
-	places   = atRoot | atRegion | atDomain
+	allLevels = levelRoot | levelRegion | levelDomain | levelService | levelRegionService | levelDomainService
+	places    = levelRoot | levelRegion | levelDomain
 )
 
 const (
-	asCount form = iota
-	asBool
-	asText
-	asPercent
-	asRate
-	asTime
-	asAddresses
-	asWords
-	asClass
+	formCount form = iota
+	formBool
+	formText
+	formPercent
+	formRate
+	formTime
+	formAddresses
+	formWords
+	formClass
 )
 
 // shiftPrefix starts the keys that make up one shift and change together.
@@ -72,45 +72,45 @@
 	level level
 	name  string
 }{
-	{atRoot, "the root"},
-	{atRegion, "a region"},
-	{atDomain, "a failure domain"},
-	{atService, "a service"},
-	{atRegionService, "a service in a region"},
-	{atDomainService, "a service in a failure domain"},
+	{levelRoot, "the root"},
+	{levelRegion, "a region"},
+	{levelDomain, "a failure domain"},
+	{levelService, "a service"},
+	{levelRegionService, "a service in a region"},
+	{levelDomainService, "a service in a failure domain"},
 }
 
 // definitions is every setting of the tree, in the order in which people read
 // them.
 var definitions = []Definition{
-	{Key: KeyUpstreams, form: asAddresses, levels: atDomainService, Help: "addresses of the servers of the service at the site"},
-	{Key: KeySlots, form: asCount, levels: anywhere, Default: "4", min: 1, max: 100000, Help: "requests that one upstream serves at the same time"},
-	{Key: KeyClass, form: asClass, levels: anywhere, Default: Value(ClassShort), Help: "short (answers of a few KB) or export (long streams)"},
-	{Key: KeyLimit, form: asPercent, levels: anywhere, Default: "85%", max: 100, Help: "part of the slots that the plan may fill"},
-	{Key: KeyDeadline, form: asCount, levels: anywhere, Default: "10000", max: 24 * 3600 * 1000, Help: "longest time for a request whose caller names none; 0 is no limit"},
-	{Key: KeyMaxBody, form: asCount, levels: anywhere, Default: "16777216", max: 1 << 40, Help: "largest body of a request in bytes"},
-	{Key: KeyExportRate, form: asCount, levels: anywhere, Default: "0", max: 1 << 40, Help: "bytes a second that exports of a region may send to another; 0 is no limit"},
-	{Key: KeyQueueLength, form: asCount, levels: anywhere, Default: "64", max: 100000, Help: "requests that wait at one owner; more are refused"},
-	{Key: KeyLookupLifetime, form: asCount, levels: anywhere, Default: "2000", min: 100, max: 3600 * 1000, Help: "how long callers keep the answer to a look-up"},
-	{Key: KeyEntries, form: asCount, levels: anywhere, Default: "3", min: 1, max: 16, Help: "entries named in the answer to a look-up"},
-	{Key: KeyHosts, form: asWords, levels: atService, Help: "values of the Host header that name the service"},
-	{Key: KeyIdempotentMethods, form: asWords, levels: anywhere, Default: "GET,HEAD,OPTIONS", Help: "methods that may run twice without harm"},
-	{Key: KeyRefusalHeader, form: asText, levels: anywhere, Default: "X-Not-Run", Help: "header by which an upstream says that it did not run a request"},
-	{Key: KeyDrainHeader, form: asText, levels: anywhere, Default: "X-Draining", Help: "header by which an upstream says that it is leaving"},
-	{Key: KeyProbePath, form: asText, levels: anywhere, Default: "/health", Help: "path that the owner of an upstream probes"},
-	{Key: KeyProbeInterval, form: asCount, levels: anywhere, Default: "2000", min: 100, max: 3600 * 1000, Help: "time between two probes of an upstream"},
-	{Key: KeyRetryBudget, form: asPercent, levels: anywhere, Default: "10%", max: 100, Help: "retries allowed, in per cent of first tries"},
-	{Key: KeyDrain, form: asBool, levels: anywhere, Default: "false", Help: "move all traffic away; true at any level above counts"},
-	{Key: KeyDrainUntil, form: asTime, levels: anywhere, Help: "when the drain at the same level ends by itself"},
-	{Key: KeyMoveCap, form: asRate, levels: anywhere, Default: "600%/min", max: 60000, Help: "how fast traffic moves when no shift caps it"},
-	{Key: KeyShiftTo, form: asText, levels: atRegionService, Help: "region that takes a part of the traffic of this one"},
-	{Key: KeyShiftShare, form: asPercent, levels: atRegionService, max: 100, Help: "part of the region's traffic that the shift moves"},
-	{Key: KeyShiftCap, form: asRate, levels: atRegionService, max: 60000, Help: "how fast the shift moves traffic, in per cent of the region's traffic a minute"},
-	{Key: KeyKeyRetention, form: asCount, levels: atRoot, Default: "600000", min: 1000, max: 600000, Help: "how long an Idempotency-Key is remembered after its request ended"},
-	{Key: KeyBlockTable, form: asText, levels: atRoot, Help: "name of the table that maps client blocks to failure domains"},
+	{Key: KeyUpstreams, form: formAddresses, levels: levelDomainService, Help: "addresses of the servers of the service at the site"},
+	{Key: KeySlots, form: formCount, levels: allLevels, Default: "4", min: 1, max: 100000, Help: "requests that one upstream serves at the same time"},
+	{Key: KeyClass, form: formClass, levels: allLevels, Default: Value(ClassShort), Help: "short (answers of a few KB) or export (long streams)"},
+	{Key: KeyLimit, form: formPercent, levels: allLevels, Default: "85%", max: 100, Help: "part of the slots that the plan may fill"},
+	{Key: KeyDeadline, form: formCount, levels: allLevels, Default: "10000", max: 24 * 3600 * 1000, Help: "longest time for a request whose caller names none; 0 is no limit"},
+	{Key: KeyMaxBody, form: formCount, levels: allLevels, Default: "16777216", max: 1 << 40, Help: "largest body of a request in bytes"},
+	{Key: KeyExportRate, form: formCount, levels: allLevels, Default: "0", max: 1 << 40, Help: "bytes a second that exports of a region may send to another; 0 is no limit"},
+	{Key: KeyQueueLength, form: formCount, levels: allLevels, Default: "64", max: 100000, Help: "requests that wait at one owner; more are refused"},
+	{Key: KeyLookupLifetime, form: formCount, levels: allLevels, Default: "2000", min: 100, max: 3600 * 1000, Help: "how long callers keep the answer to a look-up"},
+	{Key: KeyEntries, form: formCount, levels: allLevels, Default: "3", min: 1, max: 16, Help: "entries named in the answer to a look-up"},
+	{Key: KeyHosts, form: formWords, levels: levelService, Help: "values of the Host header that name the service"},
+	{Key: KeyIdempotentMethods, form: formWords, levels: allLevels, Default: "GET,HEAD,OPTIONS", Help: "methods that may run twice without harm"},
+	{Key: KeyRefusalHeader, form: formText, levels: allLevels, Default: "X-Not-Run", Help: "header by which an upstream says that it did not run a request"},
+	{Key: KeyDrainHeader, form: formText, levels: allLevels, Default: "X-Draining", Help: "header by which an upstream says that it is leaving"},
+	{Key: KeyProbePath, form: formText, levels: allLevels, Default: "/health", Help: "path that the owner of an upstream probes"},
+	{Key: KeyProbeInterval, form: formCount, levels: allLevels, Default: "2000", min: 100, max: 3600 * 1000, Help: "time between two probes of an upstream"},
+	{Key: KeyRetryBudget, form: formPercent, levels: allLevels, Default: "10%", max: 100, Help: "retries allowed, in per cent of first tries"},
+	{Key: KeyDrain, form: formBool, levels: allLevels, Default: "false", Help: "move all traffic away; true at any level above counts"},
+	{Key: KeyDrainUntil, form: formTime, levels: allLevels, Help: "when the drain at the same level ends by itself"},
+	{Key: KeyMoveCap, form: formRate, levels: allLevels, Default: "600%/min", max: 60000, Help: "how fast traffic moves when no shift caps it"},
+	{Key: KeyShiftTo, form: formText, levels: levelRegionService, Help: "region that takes a part of the traffic of this one"},
+	{Key: KeyShiftShare, form: formPercent, levels: levelRegionService, max: 100, Help: "part of the region's traffic that the shift moves"},
+	{Key: KeyShiftCap, form: formRate, levels: levelRegionService, max: 60000, Help: "how fast the shift moves traffic, in per cent of the region's traffic a minute"},
+	{Key: KeyKeyRetention, form: formCount, levels: levelRoot, Default: "600000", min: 1000, max: 600000, Help: "how long an Idempotency-Key is remembered after its request ended"},
+	{Key: KeyBlockTable, form: formText, levels: levelRoot, Help: "name of the table that maps client blocks to failure domains"},
 }
 
-var byKey = indexDefinitions()
+var definitionsByKey = indexDefinitions()
 
 type (
 	// Key names a setting.
@@ -160,46 +160,46 @@
 func (p Path) level() level {
 	switch {
 	case p.Service != "" && p.Domain != "":
-		return atDomainService
+		return levelDomainService
 	case p.Service != "" && p.Region != "":
-		return atRegionService
+		return levelRegionService
 	case p.Service != "":
-		return atService
+		return levelService
 	case p.Domain != "":
-		return atDomain
+		return levelDomain
 	case p.Region != "":
-		return atRegion
+		return levelRegion
 	}
-	return atRoot
+	return levelRoot
 }
 
 // normalize checks text against the definition and returns its canonical form.
 func (d Definition) normalize(text string) (Value, error) {
 	text = strings.TrimSpace(text)
 	switch d.form {
-	case asCount:
-		return d.count(text)
-	case asBool:
+	case formCount:
+		return d.normalizeCount(text)
+	case formBool:
 		b, err := strconv.ParseBool(text)
 		if err != nil {
 			return "", fmt.Errorf("%q is neither true nor false", text)
 		}
 		return Value(strconv.FormatBool(b)), nil
-	case asPercent:
-		return d.percent(text, "%")
-	case asRate:
-		return d.percent(text, "%/min")
-	case asTime:
+	case formPercent:
+		return d.normalizePercent(text, "%")
+	case formRate:
+		return d.normalizePercent(text, "%/min")
+	case formTime:
 		t, err := time.Parse(time.RFC3339, text)
 		if err != nil {
 			return "", fmt.Errorf("%q is not a time such as 2026-12-02T18:00:00Z", text)
 		}
 		return Value(t.UTC().Format(time.RFC3339)), nil
-	case asAddresses:
-		return addresses(text)
-	case asWords:
-		return Value(strings.Join(split(text), ",")), nil
-	case asClass:
+	case formAddresses:
+		return normalizeAddresses(text)
+	case formWords:
+		return Value(strings.Join(splitList(text), ",")), nil
+	case formClass:
 		if c := Class(text); c != ClassShort && c != ClassExport {
 			return "", fmt.Errorf("%q is neither %s nor %s", text, ClassShort, ClassExport)
 		}
@@ -210,7 +210,7 @@
 	return Value(text), nil
 }
 
-func (d Definition) count(text string) (Value, error) {
+func (d Definition) normalizeCount(text string) (Value, error) {
 	n, err := strconv.ParseInt(strings.ReplaceAll(text, "_", ""), 10, 64)
 	if err != nil {
 		return "", fmt.Errorf("%q is not a whole number", text)
@@ -221,7 +221,7 @@
 	return Value(strconv.FormatInt(n, 10)), nil
 }
 
-func (d Definition) percent(text, unit string) (Value, error) {
+func (d Definition) normalizePercent(text, unit string) (Value, error) {
 	f, err := strconv.ParseFloat(strings.TrimSuffix(text, unit), 64)
 	if err != nil || !strings.HasSuffix(text, unit) {
 		return "", fmt.Errorf("%q is not a number with %q behind it", text, unit)
@@ -232,9 +232,9 @@
 	return Value(strconv.FormatFloat(f, 'g', -1, 64) + unit), nil
 }
 
-func addresses(text string) (Value, error) {
+func normalizeAddresses(text string) (Value, error) {
 	seen := map[string]bool{}
-	list := split(text)
+	list := splitList(text)
 	for _, a := range list {
 		if _, err := netip.ParseAddrPort(a); err != nil {
 			return "", fmt.Errorf("%q is not an IP number with a port", a)
@@ -247,12 +247,12 @@
 	return Value(strings.Join(list, ",")), nil
 }
 
-func split(text string) []string {
+func splitList(text string) []string {
 	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-// groupOf returns the name under which a key races with others at its path.
-func groupOf(k Key) string {
+// conflictGroup returns the name under which a key races with others at its path.
+func conflictGroup(k Key) string {
 	switch {
 	case strings.HasPrefix(string(k), shiftPrefix):
 		return shiftPrefix
@@ -274,7 +274,7 @@
 }
 
 func (v Value) list() []string {
-	return split(string(v))
+	return splitList(string(v))
 }
 
 func (v Value) millis() timekeeper.Millis {
@@ -285,14 +285,14 @@
 	return timekeeper.Millis(t.UnixMilli())
 }
 
-// kindOf returns the TOML kind by which a value of d is written.
-func (d Definition) kindOf() parser.Kind {
+// tomlKind returns the TOML kind by which a value of d is written.
+func (d Definition) tomlKind() parser.Kind {
 	switch d.form {
-	case asCount:
+	case formCount:
 		return parser.KindNumber
-	case asBool:
+	case formBool:
 		return parser.KindBool
-	case asAddresses, asWords:
+	case formAddresses, formWords:
 		return parser.KindList
 	}
 	return parser.KindText
--- a/internal/version/resolver/path.go
+++ b/internal/version/resolver/path.go
@@ -62,24 +62,24 @@
 	return s
 }
 
-// place returns p without its service.
-func (p Path) place() Path {
+// withoutService returns p without its service.
+func (p Path) withoutService() Path {
 	p.Service = ""
 	return p
 }
 
-// parents lists the nodes from which p takes values, the nearest first. A node
+// lookupOrder lists the nodes from which p takes values, the nearest first. A node
 // that names the service is nearer than any that does not; among each kind the
 // deeper is nearer.
-func (p Path) parents() []Path {
+func (p Path) lookupOrder() []Path {
 	var out []Path
 	if p.Service != "" {
-		out = append(out, p.up()...)
+		out = append(out, p.ancestors()...)
 	}
-	return append(out, p.place().up()...)
+	return append(out, p.withoutService().ancestors()...)
 }
 
-func (p Path) up() []Path {
+func (p Path) ancestors() []Path {
 	out := []Path{p}
 	if p.Domain != "" {
 		p.Domain = ""
--- a/internal/version/resolver/resolved.go
+++ b/internal/version/resolver/resolved.go
@@ -60,8 +60,8 @@
 		// KeyRetention is how long idempotency keys are remembered.
 		KeyRetention timekeeper.Millis
 
-		at    map[registrar.Site]map[ServiceName]*Service
-		hosts map[string]ServiceName
+		services map[registrar.Site]map[ServiceName]*Service
+		hosts    map[string]ServiceName
 	}
 )
 
@@ -69,14 +69,14 @@
 // the tree names.
 func (t Tree) Resolve() *Resolved {
 	r := &Resolved{
-		at:    map[registrar.Site]map[ServiceName]*Service{},
-		hosts: map[string]ServiceName{},
+		services: map[registrar.Site]map[ServiceName]*Service{},
+		hosts:    map[string]ServiceName{},
 	}
 	r.Services, r.Sites = t.names()
 	for _, s := range r.Sites {
-		r.at[s] = map[ServiceName]*Service{}
+		r.services[s] = map[ServiceName]*Service{}
 		for _, n := range r.Services {
-			r.at[s][n] = t.service(s, n)
+			r.services[s][n] = t.resolveService(s, n)
 		}
 	}
 	for _, p := range t.Paths() {
@@ -84,7 +84,7 @@
 			r.hosts[h] = p.Service
 		}
 		if to, ok := t.nodes[p][KeyShiftTo]; ok {
-			r.Shifts = append(r.Shifts, t.shift(p, string(to)))
+			r.Shifts = append(r.Shifts, t.resolveShift(p, string(to)))
 		}
 	}
 	v, _ := t.lookup(Path{}, KeyBlockTable)
@@ -118,7 +118,7 @@
 	return Path{Region: s.Region(), Domain: s.Domain(), Service: n}
 }
 
-func (t Tree) shift(p Path, to string) Shift {
+func (t Tree) resolveShift(p Path, to string) Shift {
 	n := t.nodes[p]
 	return Shift{
 		Service: p.Service,
@@ -129,7 +129,7 @@
 	}
 }
 
-func (t Tree) service(site registrar.Site, name ServiceName) *Service {
+func (t Tree) resolveService(site registrar.Site, name ServiceName) *Service {
 	p := PathOf(site, name)
 	get := func(k Key) Value {
 		v, _ := t.lookup(p, k)
@@ -156,16 +156,16 @@
 		RetryBudget:       get(KeyRetryBudget).fraction(),
 		MoveCap:           get(KeyMoveCap).fraction(),
 	}
-	s.Drained, s.DrainedUntil = t.drained(p)
+	s.Drained, s.DrainedUntil = t.drainState(p)
 	return s
 }
 
-// drained looks at every level above p. A drain further up is not lifted by
+// drainState looks at every level above p. A drain further up is not lifted by
 // "Drain = false" beneath it: whoever drains a region means all of it.
-func (t Tree) drained(p Path) (bool, timekeeper.Millis) {
+func (t Tree) drainState(p Path) (bool, timekeeper.Millis) {
 	var drained bool
 	var until timekeeper.Millis
-	for _, q := range p.parents() {
+	for _, q := range p.lookupOrder() {
 		n := t.nodes[q]
 		if n[KeyDrain] != "true" {
 			continue
@@ -198,7 +198,7 @@
 // At returns the settings of a service at a site, or nil when the tree names
 // one of them nowhere.
 func (r *Resolved) At(site registrar.Site, name ServiceName) *Service {
-	return r.at[site][name]
+	return r.services[site][name]
 }
 
 // Knows tells whether the tree names the service.
--- a/internal/version/resolver/toml.go
+++ b/internal/version/resolver/toml.go
@@ -20,7 +20,7 @@
 	entries, problems := parser.Parse(file, data)
 	var edits []Edit
 	for _, n := range entries {
-		p, k, err := place(n.Path)
+		p, k, err := parseTablePath(n.Path)
 		if err != nil {
 			problems = append(problems, parser.Problem{Position: n.Position, Path: n.Name(), Text: err.Error()})
 			continue
@@ -38,7 +38,7 @@
 	return edits, problems
 }
 
-func place(path []string) (Path, Key, error) {
+func parseTablePath(path []string) (Path, Key, error) {
 	var p Path
 	for len(path) > 1 {
 		if len(path) < 3 {
@@ -60,11 +60,11 @@
 }
 
 func kindProblem(k Key, have parser.Kind) string {
-	d, ok := byKey[k]
-	if !ok || d.kindOf() == have {
+	d, ok := definitionsByKey[k]
+	if !ok || d.tomlKind() == have {
 		return ""
 	}
-	return fmt.Sprintf("must be %s", kindNames[d.kindOf()])
+	return fmt.Sprintf("must be %s", kindNames[d.tomlKind()])
 }
 
 var kindNames = map[parser.Kind]string{
@@ -87,7 +87,7 @@
 			fmt.Fprintf(&b, "[%s]\n", tableName(p))
 			last = p
 		}
-		fmt.Fprintf(&b, "%s = %s\n", e.Key, literal(byKey[e.Key], e.Value))
+		fmt.Fprintf(&b, "%s = %s\n", e.Key, tomlLiteral(definitionsByKey[e.Key], e.Value))
 	}
 	return b.String()
 }
@@ -106,8 +106,8 @@
 	return strings.Join(parts, ".")
 }
 
-func literal(d Definition, v Value) string {
-	switch d.kindOf() {
+func tomlLiteral(d Definition, v Value) string {
+	switch d.tomlKind() {
 	case parser.KindNumber, parser.KindBool:
 		return string(v)
 	case parser.KindList:
--- a/internal/version/resolver/tree.go
+++ b/internal/version/resolver/tree.go
@@ -49,7 +49,7 @@
 	}
 	var problems parser.Problems
 	for _, e := range edits {
-		if err := out.edit(e); err != nil {
+		if err := out.applyEdit(e); err != nil {
 			problems = append(problems, parser.Problem{Position: e.position, Path: e.name(), Text: err.Error()})
 		}
 	}
@@ -73,12 +73,12 @@
 	return m
 }
 
-func (t Tree) edit(e Edit) error {
+func (t Tree) applyEdit(e Edit) error {
 	p, err := ParsePath(e.Path)
 	if err != nil {
 		return err
 	}
-	d, ok := byKey[e.Key]
+	d, ok := definitionsByKey[e.Key]
 	if !ok {
 		return fmt.Errorf("unknown setting%s", suggestion(e.Key))
 	}
@@ -153,12 +153,12 @@
 
 // lookup returns the value of k in force at p and where it comes from.
 func (t Tree) lookup(p Path, k Key) (Value, string) {
-	for _, q := range p.parents() {
+	for _, q := range p.lookupOrder() {
 		if v, ok := t.nodes[q][k]; ok {
 			return v, q.String()
 		}
 	}
-	return byKey[k].Default, FromDefault
+	return definitionsByKey[k].Default, FromDefault
 }
 
 // Explain lists the values in force at p with the level each comes from.
@@ -229,7 +229,7 @@
 func Clash(a, b []Edit) bool {
 	for _, x := range a {
 		for _, y := range b {
-			if groupOf(x.Key) == groupOf(y.Key) && related(x.Path, y.Path) {
+			if conflictGroup(x.Key) == conflictGroup(y.Key) && pathsOverlap(x.Path, y.Path) {
 				return true
 			}
 		}
@@ -237,7 +237,7 @@
 	return false
 }
 
-func related(a, b string) bool {
+func pathsOverlap(a, b string) bool {
 	p, err := ParsePath(a)
 	if err != nil {
 		return true
--- a/internal/version/resolver/without.go
+++ b/internal/version/resolver/without.go
@@ -6,17 +6,17 @@
 // callers stay.
 func (r *Resolved) Without(lost func(registrar.Site) bool) *Resolved {
 	next := *r
-	next.at = make(map[registrar.Site]map[ServiceName]*Service, len(r.at))
-	for site, services := range r.at {
+	next.services = make(map[registrar.Site]map[ServiceName]*Service, len(r.services))
+	for site, services := range r.services {
 		if !lost(site) {
-			next.at[site] = services
+			next.services[site] = services
 			continue
 		}
-		next.at[site] = make(map[ServiceName]*Service, len(services))
+		next.services[site] = make(map[ServiceName]*Service, len(services))
 		for name, s := range services {
 			bare := *s
 			bare.Upstreams = nil
-			next.at[site][name] = &bare
+			next.services[site][name] = &bare
 		}
 	}
 	return &next
--- a/internal/version/steerer/snapshot.go
+++ b/internal/version/steerer/snapshot.go
@@ -18,7 +18,7 @@
 )
 
 // anywhere is the origin of callers in regions without upstreams.
-const anywhere registrar.Site = ""
+const unknownOrigin registrar.Site = ""
 
 type (
 	// Parts is what a snapshot is built from.
@@ -42,8 +42,8 @@
 	// Snapshot is one version of everything that steers.
 	Snapshot struct {
 		Parts
-		routes  map[routeKey]*route
-		answers map[answerKey][][]byte
+		routes    map[routeKey]*route
+		responses map[responseKey][][]byte
 	}
 
 	// Answer is the answer to a look-up.
@@ -68,23 +68,23 @@
 		origin  registrar.Site
 	}
 
-	answerKey struct {
+	responseKey struct {
 		service resolver.ServiceName
 		site    registrar.Site
 	}
 
 	// route maps keys to sites. answers is indexed like the chooser's sites.
 	route struct {
-		hash    hasher.Hash
-		chooser sharer.Chooser
-		sites   []registrar.Site
-		answers [][][]byte
+		hash      hasher.Hash
+		chooser   sharer.Chooser
+		sites     []registrar.Site
+		responses [][][]byte
 	}
 )
 
 // Build makes a snapshot.
 func Build(p Parts) (*Snapshot, error) {
-	s := &Snapshot{Parts: p, routes: map[routeKey]*route{}, answers: map[answerKey][][]byte{}}
+	s := &Snapshot{Parts: p, routes: map[routeKey]*route{}, responses: map[responseKey][][]byte{}}
 	for _, service := range p.Settings.Services {
 		if err := s.addService(service); err != nil {
 			return nil, err
@@ -102,10 +102,10 @@
 	for _, origin := range origins(s.Settings.Sites) {
 		d, ok := s.Plan.Nearest(service, origin)
 		if !ok {
-			d = targets.Of(s.Settings, service, origin, s.Wall)
+			d = targets.Split(s.Settings, service, origin, s.Wall)
 		}
 		if last == nil || !slices.Equal(d, lastDivision) {
-			r, err := s.newRoute(service, d)
+			r, err := s.buildRoute(service, d)
 			if err != nil {
 				return err
 			}
@@ -127,12 +127,12 @@
 			last = r
 		}
 	}
-	return append(out, anywhere)
+	return append(out, unknownOrigin)
 }
 
 // route returns the route of the nearest origin that there is.
 func (s *Snapshot) route(service resolver.ServiceName, origin registrar.Site) *route {
-	for _, o := range []registrar.Site{origin, registrar.Site(origin.Region()), anywhere} {
+	for _, o := range []registrar.Site{origin, registrar.Site(origin.Region()), unknownOrigin} {
 		if r := s.routes[routeKey{service, o}]; r != nil {
 			return r
 		}
@@ -140,25 +140,25 @@
 	return nil
 }
 
-func (s *Snapshot) newRoute(service resolver.ServiceName, d sharer.Division) (*route, error) {
+func (s *Snapshot) buildRoute(service resolver.ServiceName, d sharer.Division) (*route, error) {
 	r := &route{hash: hasher.OfString(string(service)), chooser: sharer.NewChooser(d)}
 	for _, name := range r.chooser.Sites() {
 		site := registrar.Site(name)
-		a, err := s.answersFor(service, site)
+		a, err := s.responsesFor(service, site)
 		if err != nil {
 			return nil, err
 		}
 		r.sites = append(r.sites, site)
-		r.answers = append(r.answers, a)
+		r.responses = append(r.responses, a)
 	}
 	return r, nil
 }
 
-// answersFor renders the answers for a site once: one for each entry that may
+// responsesFor renders the answers for a site once: one for each entry that may
 // come first, so that blocks spread over the entries.
-func (s *Snapshot) answersFor(service resolver.ServiceName, site registrar.Site) ([][]byte, error) {
-	k := answerKey{service, site}
-	if a, ok := s.answers[k]; ok {
+func (s *Snapshot) responsesFor(service resolver.ServiceName, site registrar.Site) ([][]byte, error) {
+	k := responseKey{service, site}
+	if a, ok := s.responses[k]; ok {
 		return a, nil
 	}
 	members := s.View.Serving(site)
@@ -167,19 +167,19 @@
 		return nil, nil
 	}
 	var out [][]byte
-	spares := s.spares(site, members, set.Entries)
+	spares := s.fallbackEntries(site, members, set.Entries)
 	for first := range members {
-		b, err := s.render(set, members, first, spares)
+		b, err := s.encodeResponse(set, members, first, spares)
 		if err != nil {
 			return nil, err
 		}
 		out = append(out, b)
 	}
-	s.answers[k] = out
+	s.responses[k] = out
 	return out, nil
 }
 
-func (s *Snapshot) render(set *resolver.Service, members []registrar.Member, first int, spares []Entry) ([]byte, error) {
+func (s *Snapshot) encodeResponse(set *resolver.Service, members []registrar.Member, first int, spares []Entry) ([]byte, error) {
 	a := Answer{
 		Service:        set.Name,
 		Site:           set.Site,
@@ -200,8 +200,8 @@
 	return b, eris.Wrap(err, "render look-up answer")
 }
 
-// spares are other entries of the region, for when all of a site are lost.
-func (s *Snapshot) spares(site registrar.Site, members []registrar.Member, most int) []Entry {
+// fallbackEntries are other entries of the region, for when all of a site are lost.
+func (s *Snapshot) fallbackEntries(site registrar.Site, members []registrar.Member, most int) []Entry {
 	if len(members) >= most {
 		return nil
 	}
@@ -251,9 +251,9 @@
 	}
 	h := hasher.Mix(b.Hash, r.hash)
 	i := r.chooser.Index(h)
-	if i < 0 || len(r.answers[i]) == 0 {
+	if i < 0 || len(r.responses[i]) == 0 {
 		return nil
 	}
-	all := r.answers[i]
+	all := r.responses[i]
 	return all[uint64(h)%uint64(len(all))]
 }
