--- a/internal/version/loader/field.go
+++ b/internal/version/loader/field.go
@@ -71,9 +71,9 @@
 	return b.services[name]
 }
 
-func (b *builder) upstream(id string, at parser.Position) *upstream {
+func (b *builder) upstream(id string, position parser.Position) *upstream {
 	if b.upstreams[id] == nil {
-		b.upstreams[id] = &upstream{Upstream: cataloger.Upstream{ID: cataloger.UpstreamID(id)}, position: at}
+		b.upstreams[id] = &upstream{Upstream: cataloger.Upstream{ID: cataloger.UpstreamID(id)}, position: position}
 	}
 	return b.upstreams[id]
 }
--- a/internal/version/loader/load.go
+++ b/internal/version/loader/load.go
@@ -141,11 +141,11 @@
 // or get no requests.
 func (b *builder) checkedUpstreams() []cataloger.Upstream {
 	var out []cataloger.Upstream
-	routed := b.routedServices()
+	routedServices := b.routedServices()
 	for _, n := range slices.Sorted(maps.Keys(b.upstreams)) {
 		u := b.upstreams[n]
 		switch {
-		case !routed[u.Service]:
+		case !routedServices[u.Service]:
 			b.report(u.position, "Upstream."+n, "no route goes to its service "+cmp.Or(string(u.Service), `""`))
 		case u.Address == "" || u.Site == "" || u.Slots == 0:
 			b.report(u.position, "Upstream."+n, "needs Address, Site and Slots")
--- a/internal/version/locator/store.go
+++ b/internal/version/locator/store.go
@@ -50,14 +50,14 @@
 		if text == "" || strings.HasPrefix(text, "#") {
 			continue
 		}
-		if err := b.addLine(text); err != nil {
+		if err := b.line(text); err != nil {
 			return eris.Wrapf(err, "line %d", line)
 		}
 	}
 	return s.Err()
 }
 
-func (b *Builder) addLine(text string) error {
+func (b *Builder) line(text string) error {
 	block, site, ok := strings.Cut(text, " ")
 	if !ok {
 		return eris.Errorf("%q is not a block and a failure domain", text)
@@ -145,7 +145,7 @@
 			break
 		}
 	}
-	if len(b.table.blockOrigin) == 0 {
+	if len(b.table.origin) == 0 {
 		return nil, eris.Wrapf(storer.ErrNotFound, "table %s", name)
 	}
 	return b.Table(), nil
--- a/internal/version/locator/table.go
+++ b/internal/version/locator/table.go
@@ -24,9 +24,9 @@
 	Table struct {
 		blocks  bart.Table[uint32]
 		origins []registrar.Site
-		// blockOrigin and hash are indexed by the number of the block.
-		blockOrigin []uint16
-		blockHash   []hasher.Hash
+		// origin and hash are indexed by the number of the block.
+		origin []uint16
+		hash   []hasher.Hash
 	}
 
 	// Builder builds a table.
@@ -55,10 +55,10 @@
 	if err != nil {
 		return err
 	}
-	n := uint32(len(b.table.blockOrigin))
+	n := uint32(len(b.table.origin))
 	b.table.blocks.Insert(p, n)
-	b.table.blockOrigin = append(b.table.blockOrigin, i)
-	b.table.blockHash = append(b.table.blockHash, hashOf(p))
+	b.table.origin = append(b.table.origin, i)
+	b.table.hash = append(b.table.hash, hashOf(p))
 	return nil
 }
 
@@ -95,7 +95,7 @@
 	if !ok {
 		return Block{Hash: unlistedHash(a)}
 	}
-	return Block{Origin: t.origins[t.blockOrigin[n]], Hash: t.blockHash[n]}
+	return Block{Origin: t.origins[t.origin[n]], Hash: t.hash[n]}
 }
 
 func unlistedHash(a netip.Addr) hasher.Hash {
--- a/internal/version/parser/parse.go
+++ b/internal/version/parser/parse.go
@@ -133,9 +133,9 @@
 func (w *walker) addExpression(n *unstable.Node) {
 	switch n.Kind {
 	case unstable.Table:
-		w.table, _ = w.readKey(n)
+		w.table, _ = w.key(n)
 	case unstable.ArrayTable:
-		path, at := w.readKey(n)
+		path, at := w.key(n)
 		w.table = path
 		w.report(at, path, "lists of tables are not used here")
 	case unstable.KeyValue:
@@ -143,7 +143,7 @@
 	}
 }
 
-func (w *walker) readKey(n *unstable.Node) ([]string, Position) {
+func (w *walker) key(n *unstable.Node) ([]string, Position) {
 	var path []string
 	at := Position{File: w.file}
 	it := n.Key()
@@ -158,7 +158,7 @@
 }
 
 func (w *walker) addKeyValue(prefix []string, n *unstable.Node) {
-	key, at := w.readKey(n)
+	key, at := w.key(n)
 	path := append(append([]string{}, prefix...), key...)
 	v := n.Value()
 	switch v.Kind {
--- a/internal/version/planner/mover.go
+++ b/internal/version/planner/mover.go
@@ -58,7 +58,7 @@
 		// credit is the fraction of its traffic that each route may still move now.
 		credit      map[routeKey]float64
 		shiftCredit map[shiftKey]float64
-		spillover   spilloverState
+		spillover   spillover
 		lastAccrual timekeeper.Millis
 		lastStep    timekeeper.Millis
 		// converged reports for each service whether all of its routes are at their
@@ -66,8 +66,8 @@
 		converged map[resolver.ServiceName]bool
 		// demand is the last complete measurement.
 		demand map[resolver.ServiceName]Demand
-		// targets is the target traffic split of each route in this step.
-		targets map[routeKey]sharer.Division
+		// target is the target traffic split of each route in this step.
+		target map[routeKey]sharer.Division
 	}
 )
 
@@ -118,7 +118,7 @@
 	m.credit = map[routeKey]float64{}
 	m.shiftCredit = map[shiftKey]float64{}
 	m.converged = map[resolver.ServiceName]bool{}
-	m.spillover = spilloverState{}
+	m.spillover = spillover{}
 	m.lastAccrual = in.Now
 	m.lastStep = in.Now - minStepInterval
 }
@@ -129,10 +129,10 @@
 	if m.demand == nil || len(in.Load.Stale) == 0 {
 		m.demand = in.Load.Work
 	}
-	m.targets = map[routeKey]sharer.Division{}
+	m.target = map[routeKey]sharer.Division{}
 	for _, service := range in.Settings.Services {
 		for origin, d := range targets(in.Settings, service, m.demand[service], in.Wall, shifts, m.spillover) {
-			m.targets[routeKey{service, origin}] = d
+			m.target[routeKey{service, origin}] = d
 		}
 	}
 }
@@ -154,7 +154,7 @@
 // addRoute adds the route of k to next, moved towards its target as far as is allowed
 // now.
 func (m *Mover) addRoute(in Input, next *Plan, k routeKey) {
-	target := m.targets[k]
+	target := m.target[k]
 	current, ok := in.Last.Route(k.service, k.origin)
 	if target == nil {
 		// No site is available. The route in force is kept.
--- a/internal/version/planner/target.go
+++ b/internal/version/planner/target.go
@@ -32,9 +32,9 @@
 	// weights are the relative weights of sites. They need not add up to 1.
 	weights map[registrar.Site]float64
 
-	// spilloverState holds the fraction of traffic that spills over, in steps of
+	// spillover holds the fraction of traffic that spills over, in steps of
 	// 1/spilloverSteps, for each service and region.
-	spilloverState map[spilloverKey]int
+	spillover map[spilloverKey]int
 
 	spilloverKey struct {
 		service resolver.ServiceName
@@ -43,9 +43,9 @@
 
 	// regionLoad holds the capacity of a region and its load, in slots.
 	regionLoad struct {
-		sites weights // capacity of the available sites
-		limit float64
-		used  float64
+		available weights // capacity of the available sites
+		limit     float64
+		used      float64
 	}
 )
 
@@ -73,10 +73,10 @@
 	return d
 }
 
-// targets returns the target traffic split of every origin, with the shifts at the
+// target returns the target traffic split of every origin, with the shifts at the
 // progress given in shifts. Load beyond the limit of a region spills over to regions
 // with spare capacity; without demand nothing spills over.
-func targets(r *resolver.Resolved, service resolver.ServiceName, d Demand, wall timekeeper.Millis, shifts []Progress, s spilloverState) map[registrar.Site]sharer.Division {
+func targets(r *resolver.Resolved, service resolver.ServiceName, d Demand, wall timekeeper.Millis, shifts []Progress, s spillover) map[registrar.Site]sharer.Division {
 	available := availableCapacity(r, service, wall)
 	splits := map[registrar.Site]weights{}
 	for _, origin := range r.Sites {
@@ -125,7 +125,7 @@
 	for site, capacity := range available {
 		load := loads[site.Region()]
 		if load == nil {
-			load = &regionLoad{sites: available.inRegion(site.Region())}
+			load = &regionLoad{available: available.inRegion(site.Region())}
 			loads[site.Region()] = load
 		}
 		load.limit += capacity * r.At(site, service).Limit * maxFill
@@ -140,13 +140,13 @@
 
 // applySpillover moves the load beyond the limit of a region to the regions with spare
 // capacity, in proportion to that capacity.
-func applySpillover(loads map[string]*regionLoad, service resolver.ServiceName, splits map[registrar.Site]weights, s spilloverState) {
+func applySpillover(loads map[string]*regionLoad, service resolver.ServiceName, splits map[registrar.Site]weights, s spillover) {
 	spare := weights{}
 	var total float64
 	for _, load := range loads {
 		if free := load.limit - load.used; free > 0 {
 			total += free
-			for site, w := range load.sites.normalized() {
+			for site, w := range load.available.normalized() {
 				spare[site] = free * w
 			}
 		}
@@ -155,7 +155,7 @@
 		return
 	}
 	for region, load := range loads {
-		fraction := s.fraction(spilloverKey{service, region}, load)
+		fraction := s.adjust(spilloverKey{service, region}, load)
 		if fraction == 0 {
 			continue
 		}
@@ -165,10 +165,10 @@
 	}
 }
 
-// fraction returns the fraction of a region's traffic that spills over. It increases as
+// adjust returns the fraction of a region's traffic that spills over. It increases as
 // soon as necessary, and decreases only when the need is lower by more than
 // spilloverHysteresis steps. With a nil state there is no hysteresis.
-func (s spilloverState) fraction(k spilloverKey, load *regionLoad) float64 {
+func (s spillover) adjust(k spilloverKey, load *regionLoad) float64 {
 	need := 0
 	if load.used > load.limit {
 		need = int(math.Ceil((1 - load.limit/load.used) * spilloverSteps))
--- a/internal/version/resolver/resolved.go
+++ b/internal/version/resolver/resolved.go
@@ -60,8 +60,8 @@
 		// KeyRetention is how long idempotency keys are remembered.
 		KeyRetention timekeeper.Millis
 
-		services map[registrar.Site]map[ServiceName]*Service
-		hosts    map[string]ServiceName
+		bySite map[registrar.Site]map[ServiceName]*Service
+		hosts  map[string]ServiceName
 	}
 )
 
@@ -69,14 +69,14 @@
 // the tree names.
 func (t Tree) Resolve() *Resolved {
 	r := &Resolved{
-		services: map[registrar.Site]map[ServiceName]*Service{},
-		hosts:    map[string]ServiceName{},
+		bySite: map[registrar.Site]map[ServiceName]*Service{},
+		hosts:  map[string]ServiceName{},
 	}
 	r.Services, r.Sites = t.names()
 	for _, s := range r.Sites {
-		r.services[s] = map[ServiceName]*Service{}
+		r.bySite[s] = map[ServiceName]*Service{}
 		for _, n := range r.Services {
-			r.services[s][n] = t.resolveService(s, n)
+			r.bySite[s][n] = t.resolveService(s, n)
 		}
 	}
 	for _, p := range t.Paths() {
@@ -156,13 +156,13 @@
 		RetryBudget:       get(KeyRetryBudget).fraction(),
 		MoveCap:           get(KeyMoveCap).fraction(),
 	}
-	s.Drained, s.DrainedUntil = t.drainState(p)
+	s.Drained, s.DrainedUntil = t.drained(p)
 	return s
 }
 
-// drainState looks at every level above p. A drain further up is not lifted by
+// drained looks at every level above p. A drain further up is not lifted by
 // "Drain = false" beneath it: whoever drains a region means all of it.
-func (t Tree) drainState(p Path) (bool, timekeeper.Millis) {
+func (t Tree) drained(p Path) (bool, timekeeper.Millis) {
 	var drained bool
 	var until timekeeper.Millis
 	for _, q := range p.lookupOrder() {
@@ -198,7 +198,7 @@
 // At returns the settings of a service at a site, or nil when the tree names
 // one of them nowhere.
 func (r *Resolved) At(site registrar.Site, name ServiceName) *Service {
-	return r.services[site][name]
+	return r.bySite[site][name]
 }
 
 // Knows tells whether the tree names the service.
--- a/internal/version/resolver/without.go
+++ b/internal/version/resolver/without.go
@@ -6,17 +6,17 @@
 // callers stay.
 func (r *Resolved) Without(lost func(registrar.Site) bool) *Resolved {
 	next := *r
-	next.services = make(map[registrar.Site]map[ServiceName]*Service, len(r.services))
-	for site, services := range r.services {
+	next.bySite = make(map[registrar.Site]map[ServiceName]*Service, len(r.bySite))
+	for site, services := range r.bySite {
 		if !lost(site) {
-			next.services[site] = services
+			next.bySite[site] = services
 			continue
 		}
-		next.services[site] = make(map[ServiceName]*Service, len(services))
+		next.bySite[site] = make(map[ServiceName]*Service, len(services))
 		for name, s := range services {
 			bare := *s
 			bare.Upstreams = nil
-			next.services[site][name] = &bare
+			next.bySite[site][name] = &bare
 		}
 	}
 	return &next
--- a/internal/version/steerer/snapshot.go
+++ b/internal/version/steerer/snapshot.go
@@ -167,9 +167,9 @@
 		return nil, nil
 	}
 	var out [][]byte
-	spares := s.fallbackEntries(site, members, set.Entries)
+	fallbackEntries := s.fallbackEntries(site, members, set.Entries)
 	for first := range members {
-		b, err := s.encodeResponse(set, members, first, spares)
+		b, err := s.encodeResponse(set, members, first, fallbackEntries)
 		if err != nil {
 			return nil, err
 		}
