--- a/internal/version/locator/doc.go
+++ b/internal/version/locator/doc.go
@@ -1,6 +1,6 @@
-// Package locator maps the addresses of callers to client blocks and their
-// failure domains, by longest prefix.
+// Package locator maps caller addresses to client blocks and their failure domains by
+// longest prefix match.
 //
-// A table of all blocks is kept in the platform's store as compressed parts, and
-// is replaced whole under a new name. It is never changed once built.
+// A table of all blocks is stored on the platform as compressed parts. A table never
+// changes once built: a new version is stored under a new name.
 package locator
--- a/internal/version/locator/store.go
+++ b/internal/version/locator/store.go
@@ -20,19 +20,19 @@
 const (
 	objectPrefix = "Blocks/"
 
-	// partBlocks is how many blocks one stored part holds. Compressed, that
-	// many stay far below storer.MaxObjectBytes.
+	// partBlocks is the number of blocks in one stored part. Compressed, such a part is
+	// far smaller than storer.MaxObjectBytes.
 	partBlocks = 40000
 
-	// partsPerList bounds one answer of the store.
+	// partsPerList bounds the size of one list response from the store.
 	partsPerList = 4
 
-	// maxPartBytes bounds a part when it is read.
+	// maxPartBytes bounds the decompressed size of a part.
 	maxPartBytes = 64 << 20
 )
 
-// Read reads a table from text: a block and its failure domain a line, such as
-// "10.1.0.0/16 erie/a".
+// Read parses a table. Each line holds a block and its failure domain, such as
+// "10.1.0.0/16 erie/a". Empty lines and lines that begin with # are ignored.
 func Read(r io.Reader) (*Table, error) {
 	var b Builder
 	if err := b.readText(r); err != nil {
@@ -60,22 +60,23 @@
 func (b *Builder) line(text string) error {
 	block, site, ok := strings.Cut(text, " ")
 	if !ok {
-		return eris.Errorf("%q is not a block and a failure domain", text)
+		return eris.Errorf("%q is not a block followed by a failure domain", text)
 	}
 	p, err := netip.ParsePrefix(block)
 	if err != nil {
-		return eris.Errorf("%q is not a block", block)
+		return eris.Errorf("%q is not an address block in CIDR notation", block)
 	}
 	return b.Add(p, registrar.Site(strings.TrimSpace(site)))
 }
 
-// Save stores the text of a table under a name that was not used before, except by a Save of
-// the same text that was broken off: what that one stored is kept, and this one adds a part
-// at least.
+// Save stores the text of a table and returns the number of its lines. The name must be
+// unused, except that an interrupted Save of the same text may be continued under it:
+// the parts already stored are kept. If every part was already stored, Save returns
+// storer.ErrConflict.
 func Save(ctx context.Context, c *storer.Client, name string, text io.Reader) (int, error) {
 	s := bufio.NewScanner(text)
 	blocks := 0
-	// found is the conflict with the last part, if that was stored before.
+	// found is the conflict error for the last part if that part was already stored.
 	var found error
 	for part := 0; ; part++ {
 		body, n, err := nextPart(s)
@@ -93,8 +94,9 @@
 	}
 }
 
-// savePart stores a part unless it is stored already, which it returns as found. A create
-// whose answer was lost, or that finds an object, is settled by reading that back.
+// savePart stores a part. If the same part is already stored, it returns the conflict
+// as found. When a create conflicts or its outcome is unknown, savePart reads the
+// object back to decide.
 func savePart(ctx context.Context, c *storer.Client, name string, body []byte) (found, err error) {
 	_, err = c.Create(ctx, name, body)
 	if !errors.Is(err, storer.ErrConflict) && !errors.Is(err, storer.ErrUnknown) {
@@ -126,7 +128,8 @@
 	return b.Bytes(), n, s.Err()
 }
 
-// Load reads a stored table.
+// Load reads a table from the store. It returns storer.ErrNotFound if no parts are
+// stored under the name.
 func Load(ctx context.Context, c *storer.Client, name string) (*Table, error) {
 	var b Builder
 	after := ""
--- a/internal/version/locator/table.go
+++ b/internal/version/locator/table.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// A caller outside all blocks is treated as if its network of this many
-	// bits were a block, so that neighbours go together.
+	// An address outside all blocks is treated as if its network of this prefix length
+	// were a block, so that neighbouring addresses are routed alike.
 	unlistedBits4 = 24
 	unlistedBits6 = 48
 
@@ -24,32 +24,32 @@
 	Table struct {
 		blocks  bart.Table[uint32]
 		origins []registrar.Site
-		// origin and hash are indexed by the number of the block.
+		// origin and hash are indexed by block number; origin holds indexes into
+		// origins.
 		origin []uint16
 		hash   []hasher.Hash
 	}
 
-	// Builder builds a table.
+	// Builder builds a table. The zero value is ready for use.
 	Builder struct {
 		table         Table
 		originIndexes map[registrar.Site]uint16
 	}
 
-	// Block is where an address belongs.
+	// Block is the block that contains an address.
 	Block struct {
-		// Origin is the failure domain of the block, "" when the address is
-		// in none.
+		// Origin is the failure domain of the block, or "" if the address is in none.
 		Origin registrar.Site
-		// Hash is the block's place in the key space.
+		// Hash is the position of the block in the key space.
 		Hash hasher.Hash
 	}
 )
 
-// Add puts a block into the table. A block that is there already moves to
-// origin.
+// Add adds a block to the table. If the block is already present, its origin is
+// replaced.
 func (b *Builder) Add(p netip.Prefix, origin registrar.Site) error {
 	if !p.IsValid() {
-		return eris.New("invalid block")
+		return eris.New("invalid address block")
 	}
 	i, err := b.originIndex(origin)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return i, nil
 }
 
-// Table returns what was built. The builder must not be used any more.
+// Table returns the table. The builder must not be used afterwards.
 func (b *Builder) Table() *Table {
 	return &b.table
 }
@@ -88,7 +88,8 @@
 	return t.blocks.Size()
 }
 
-// Find returns the block of an address. It does not allocate.
+// Find returns the block of the longest prefix that contains an address. It does not
+// allocate.
 func (t *Table) Find(a netip.Addr) Block {
 	a = a.Unmap()
 	n, ok := t.blocks.Lookup(a)
--- a/internal/version/locator/table_test.go
+++ b/internal/version/locator/table_test.go
@@ -27,7 +27,7 @@
 	} {
 		is.Equal(string(table.Find(netip.MustParseAddr(a)).Origin), want)
 	}
-	// Neighbours outside all blocks go together.
+	// Neighbouring addresses outside all blocks share a block.
 	x := table.Find(netip.MustParseAddr("192.0.2.1"))
 	is.Equal(x, table.Find(netip.MustParseAddr("192.0.2.200")))
 	is.True(x != table.Find(netip.MustParseAddr("192.0.3.1")))
@@ -42,7 +42,8 @@
 	}
 }
 
-// blocks is the text of a table of n blocks over 20 origins.
+// blocks returns the text of a table of n blocks over 140 origins: 20 domain names in 7
+// regions.
 func blocks(n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -67,8 +68,8 @@
 	is.True(err != nil)
 }
 
-// TestSaveGoesOn has an upload of a table broken off in the middle: the same text can be
-// saved again under the name, and another text can't.
+// TestSaveGoesOn interrupts a Save after two parts. The same text can then be saved
+// under the same name; a different text conflicts.
 func TestSaveGoesOn(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(&platform.Server{})
@@ -77,7 +78,7 @@
 	left := 2
 	c := &storer.Client{Address: s.URL, Do: func(q *http.Request) (*http.Response, error) {
 		if left == 0 {
-			return nil, errors.New("broken off")
+			return nil, errors.New("connection interrupted")
 		}
 		left--
 		return http.DefaultClient.Do(q)
@@ -95,10 +96,11 @@
 	is.NoErr(err)
 	is.Equal(table.Len(), 100001)
 	_, err = locator.Save(ctx, c, "one", strings.NewReader(blocks(100001)))
-	is.True(errors.Is(err, storer.ErrConflict)) // nothing was left to store
+	is.True(errors.Is(err, storer.ErrConflict)) // every part was already stored
 }
 
-// BenchmarkLoad reads tables from the store, and tells their size there.
+// BenchmarkLoad measures loading a table, and reports the bytes transferred from the
+// store.
 func BenchmarkLoad(b *testing.B) {
 	for _, n := range []int{10000, 100000, 390000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/version/planner/target.go
+++ b/internal/version/planner/target.go
@@ -165,9 +165,9 @@
 	}
 }
 
-// adjust returns the fraction of a region's traffic that spills over. It increases as
-// soon as necessary, and decreases only when the need is lower by more than
-// spilloverHysteresis steps. With a nil state there is no hysteresis.
+// adjust updates and returns the fraction of a region's traffic that spills over. It
+// increases as soon as necessary, and decreases only when the need is lower by more
+// than spilloverHysteresis steps. With a nil state there is no hysteresis.
 func (s spillover) adjust(k spilloverKey, load *regionLoad) float64 {
 	need := 0
 	if load.used > load.limit {
--- a/internal/version/steerer/doc.go
+++ b/internal/version/steerer/doc.go
@@ -1,4 +1,4 @@
-// Package steerer answers look-ups and routes requests from one immutable
-// snapshot of settings, plan, rosters and client blocks. A snapshot is built
-// when one of them changes and replaced whole, so readers share no lock.
+// Package steerer answers lookups and routes requests from one immutable snapshot of
+// settings, plan, rosters and client blocks. A new snapshot is built when one of them
+// changes and replaces the old one as a whole, so readers take no lock.
 package steerer
--- a/internal/version/steerer/lookup_test.go
+++ b/internal/version/steerer/lookup_test.go
@@ -17,7 +17,8 @@
 	"github.com/gullvale/gullvale/pkg/registrar"
 )
 
-// table has n blocks of mixed lengths over the sites.
+// table returns a table of n blocks of mixed prefix lengths, assigned to the sites in
+// turn.
 func table(tb testing.TB, n int, sites []registrar.Site) *locator.Table {
 	tb.Helper()
 	var b locator.Builder
@@ -30,14 +31,15 @@
 	return b.Table()
 }
 
-// blockAddress is an address in the i-th block.
+// blockAddress returns an address in the i-th block.
 func blockAddress(i int) netip.Addr {
 	var a [4]byte
 	binary.BigEndian.PutUint32(a[:], uint32(i)*10007<<8)
 	return netip.AddrFrom4(a)
 }
 
-// snapshot has regions of failure domains with one daemon or more each.
+// snapshot returns a snapshot with the given number of regions, failure domains per
+// region and daemons per failure domain.
 func snapshot(tb testing.TB, regions, domains, daemons, blocks int) *steerer.Snapshot {
 	tb.Helper()
 	var edits []resolver.Edit
@@ -83,16 +85,16 @@
 		var answer steerer.Answer
 		is.NoErr(json.Unmarshal(s.Answer("keg-ledger", b), &answer))
 		is.Equal(answer.Site, s.Site("keg-ledger", b))
-		is.Equal(answer.Site.Region(), b.Origin.Region()) // callers stay in their region
+		is.Equal(answer.Site.Region(), b.Origin.Region()) // requests stay in the region of the caller
 		is.Equal(len(answer.Entries), 3)
 		firsts[answer.Entries[0].Address] = true
 	}
-	is.Equal(len(firsts), 12) // every entry is the first for some block
+	is.Equal(len(firsts), 12) // every entry comes first for some block
 	is.Equal(s.Answer("other", locator.Block{}), nil)
 }
 
-// TestEveryOriginHasARoute asks for blocks of failure domains and regions without
-// any upstream, and of a daemon whose own domain has none.
+// TestEveryOriginHasARoute covers origins in failure domains and regions that have no
+// upstreams.
 func TestEveryOriginHasARoute(t *testing.T) {
 	is := is.New(t)
 	s := snapshot(t, 2, 2, 1, 10)
@@ -110,8 +112,8 @@
 	is.Equal(testing.AllocsPerRun(1000, func() { s.Answer("keg-ledger", s.Find(a)) }), 0.0)
 }
 
-// BenchmarkLookup steers look-ups at growing tables of client blocks, in the
-// shape of today (3 regions × 2) and of two years out (7 × 11 sites).
+// BenchmarkLookup measures lookups for growing tables of client blocks, with 3 regions
+// of 2 sites and with 7 regions of 11 sites.
 func BenchmarkLookup(b *testing.B) {
 	for _, blocks := range []int{1000, 10000, 100000, 390000} {
 		for _, shape := range [][3]int{{3, 2, 2}, {7, 11, 7}} {
@@ -136,8 +138,8 @@
 	}
 }
 
-// BenchmarkBuild makes a snapshot anew, as each change of settings, plan or
-// roster does.
+// BenchmarkBuild measures building a snapshot, which happens on each change of
+// settings, plan or roster.
 func BenchmarkBuild(b *testing.B) {
 	for _, shape := range [][3]int{{3, 2, 2}, {7, 3, 7}, {7, 11, 7}} {
 		b.Run(fmt.Sprintf("%dsites", shape[0]*shape[1]), func(b *testing.B) {
--- a/internal/version/steerer/snapshot.go
+++ b/internal/version/steerer/snapshot.go
@@ -17,47 +17,47 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// anywhere is the origin of callers in regions without upstreams.
+// unknownOrigin is the origin of callers in regions without upstreams.
 const unknownOrigin registrar.Site = ""
 
 type (
-	// Parts is what a snapshot is built from.
+	// Parts holds the inputs of a snapshot.
 	Parts struct {
 		Settings *resolver.Resolved
 		Number   recorder.Number
 		Plan     planner.Plan
 		View     *registrar.View
 		Table    *locator.Table
-		// Home is the site of this daemon. Callers outside all blocks count
-		// as its own.
+		// Home is the site of this daemon. It is also the origin of callers outside all
+		// blocks.
 		Home registrar.Site
-		// Self is this daemon. It is named as the last entry for sites of other
-		// regions: they may all be lost, and whoever answers is alive.
+		// Self is this daemon. It is appended to the entries of sites in other regions:
+		// those may all be lost, while the daemon that serves the lookup is alive.
 		Self registrar.Member
-		// Wall is when the snapshot is built. Without a plan it tells which
-		// drains have ended.
+		// Wall is the wall-clock time at which the snapshot is built. Without a plan it
+		// determines which drains have expired.
 		Wall timekeeper.Millis
 	}
 
-	// Snapshot is one version of everything that steers.
+	// Snapshot is one immutable version of all routing state.
 	Snapshot struct {
 		Parts
 		routes    map[routeKey]*route
 		responses map[responseKey][][]byte
 	}
 
-	// Answer is the answer to a look-up.
+	// Answer is the response to a lookup.
 	Answer struct {
 		Service resolver.ServiceName
 		Site    registrar.Site
-		// Entries are the daemons to ask, in order.
+		// Entries are the daemons to contact, in order of preference.
 		Entries        []Entry
 		LifetimeMillis timekeeper.Millis
 		Settings       recorder.Number
 		Plan           planner.Number
 	}
 
-	// Entry is one daemon in an answer.
+	// Entry is one daemon in a response.
 	Entry struct {
 		Address     string
 		Incarnation registrar.Incarnation
@@ -73,7 +73,7 @@
 		site    registrar.Site
 	}
 
-	// route maps keys to sites. answers is indexed like the chooser's sites.
+	// route maps keys to sites. Its responses are indexed like sites and the chooser.
 	route struct {
 		hash      hasher.Hash
 		chooser   sharer.Chooser
@@ -82,7 +82,7 @@
 	}
 )
 
-// Build makes a snapshot.
+// Build returns a snapshot of p.
 func Build(p Parts) (*Snapshot, error) {
 	s := &Snapshot{Parts: p, routes: map[routeKey]*route{}, responses: map[responseKey][][]byte{}}
 	for _, service := range p.Settings.Services {
@@ -93,31 +93,31 @@
 	return s, nil
 }
 
-// addService adds the routes of a service. Origins of one region mostly divide
-// alike, and then share one route.
+// addService adds the routes of a service. Most origins of a region have the same
+// traffic split, and consecutive origins with the same split share one route.
 func (s *Snapshot) addService(service resolver.ServiceName) error {
 	var targets planner.Targets
 	var last *route
-	var lastDivision sharer.Division
+	var lastSplit sharer.Division
 	for _, origin := range origins(s.Settings.Sites) {
 		d, ok := s.Plan.Nearest(service, origin)
 		if !ok {
 			d = targets.Split(s.Settings, service, origin, s.Wall)
 		}
-		if last == nil || !slices.Equal(d, lastDivision) {
+		if last == nil || !slices.Equal(d, lastSplit) {
 			r, err := s.buildRoute(service, d)
 			if err != nil {
 				return err
 			}
-			last, lastDivision = r, d
+			last, lastSplit = r, d
 		}
 		s.routes[routeKey{service, origin}] = last
 	}
 	return nil
 }
 
-// origins returns the sites, each region by itself, and anywhere: callers may come
-// from failure domains that have no upstreams, and from regions that have none.
+// origins returns the sites, each region, and unknownOrigin: callers may be in failure
+// domains without upstreams, and in regions without any.
 func origins(sites []registrar.Site) []registrar.Site {
 	out := slices.Clone(sites)
 	var last string
@@ -130,7 +130,8 @@
 	return append(out, unknownOrigin)
 }
 
-// route returns the route of the nearest origin that there is.
+// route returns the route of the nearest known origin: the site, its region, or
+// unknownOrigin. It returns nil if the service has no route.
 func (s *Snapshot) route(service resolver.ServiceName, origin registrar.Site) *route {
 	for _, o := range []registrar.Site{origin, registrar.Site(origin.Region()), unknownOrigin} {
 		if r := s.routes[routeKey{service, o}]; r != nil {
@@ -144,18 +145,19 @@
 	r := &route{hash: hasher.OfString(string(service)), chooser: sharer.NewChooser(d)}
 	for _, name := range r.chooser.Sites() {
 		site := registrar.Site(name)
-		a, err := s.responsesFor(service, site)
+		encoded, err := s.responsesFor(service, site)
 		if err != nil {
 			return nil, err
 		}
 		r.sites = append(r.sites, site)
-		r.responses = append(r.responses, a)
+		r.responses = append(r.responses, encoded)
 	}
 	return r, nil
 }
 
-// responsesFor renders the answers for a site once: one for each entry that may
-// come first, so that blocks spread over the entries.
+// responsesFor returns the encoded responses for a site. There is one for each entry
+// that may come first, so that blocks are spread over the entries. They are encoded
+// once per snapshot.
 func (s *Snapshot) responsesFor(service resolver.ServiceName, site registrar.Site) ([][]byte, error) {
 	k := responseKey{service, site}
 	if a, ok := s.responses[k]; ok {
@@ -179,7 +181,7 @@
 	return out, nil
 }
 
-func (s *Snapshot) encodeResponse(set *resolver.Service, members []registrar.Member, first int, spares []Entry) ([]byte, error) {
+func (s *Snapshot) encodeResponse(set *resolver.Service, members []registrar.Member, first int, fallback []Entry) ([]byte, error) {
 	a := Answer{
 		Service:        set.Name,
 		Site:           set.Site,
@@ -191,16 +193,17 @@
 		m := members[(first+i)%len(members)]
 		a.Entries = append(a.Entries, Entry{Address: m.Callers, Incarnation: m.Incarnation})
 	}
-	a.Entries = append(a.Entries, spares...)
+	a.Entries = append(a.Entries, fallback...)
 	a.Entries = a.Entries[:min(len(a.Entries), set.Entries)]
 	if s.Self.Callers != "" && s.Self.Site.Region() != set.Site.Region() {
 		a.Entries = append(a.Entries, Entry{Address: s.Self.Callers, Incarnation: s.Self.Incarnation})
 	}
 	b, err := json.Marshal(a)
-	return b, eris.Wrap(err, "render look-up answer")
+	return b, eris.Wrap(err, "encode lookup response")
 }
 
-// fallbackEntries are other entries of the region, for when all of a site are lost.
+// fallbackEntries returns further entries of the region, for use when all entries of
+// the site are lost. It returns none if the site itself has enough members.
 func (s *Snapshot) fallbackEntries(site registrar.Site, members []registrar.Member, most int) []Entry {
 	if len(members) >= most {
 		return nil
@@ -218,8 +221,8 @@
 	return out
 }
 
-// Find returns the block of an address. An address outside all blocks belongs
-// to the home of this daemon.
+// Find returns the block of an address. For an address outside all blocks, the origin
+// is the site of this daemon.
 func (s *Snapshot) Find(a netip.Addr) locator.Block {
 	b := s.Table.Find(a)
 	if b.Origin == "" {
@@ -228,8 +231,8 @@
 	return b
 }
 
-// Site returns where a request from a block for a service is to run, "" when
-// no site takes the service. It does not allocate.
+// Site returns the site at which a request from a block is to run, or "" if no site
+// accepts traffic for the service. It does not allocate.
 func (s *Snapshot) Site(service resolver.ServiceName, b locator.Block) registrar.Site {
 	r := s.route(service, b.Origin)
 	if r == nil {
@@ -242,8 +245,8 @@
 	return r.sites[i]
 }
 
-// Answer returns the rendered answer to a look-up, nil when there is no entry.
-// It does not allocate; the caller must not change the bytes.
+// Answer returns the encoded response to a lookup, or nil if there is no entry. It does
+// not allocate; the caller must not modify the result.
 func (s *Snapshot) Answer(service resolver.ServiceName, b locator.Block) []byte {
 	r := s.route(service, b.Origin)
 	if r == nil {
@@ -254,6 +257,6 @@
 	if i < 0 || len(r.responses[i]) == 0 {
 		return nil
 	}
-	all := r.responses[i]
-	return all[uint64(h)%uint64(len(all))]
+	encoded := r.responses[i]
+	return encoded[uint64(h)%uint64(len(encoded))]
 }
