--- a/internal/version/resolver/check.go
+++ b/internal/version/resolver/check.go
@@ -6,17 +6,17 @@
 	"github.com/gullvale/gullvale/internal/version/parser"
 )
 
-// check finds faults that only the whole tree shows.
+// check returns the problems that concern the tree as a whole.
 func (t Tree) check(positions map[string]parser.Position) parser.Problems {
 	var out parser.Problems
 	report := func(p Path, k Key, text string, args ...any) {
 		name := p.String() + " " + string(k)
 		out = append(out, parser.Problem{Position: positions[name], Path: name, Text: fmt.Sprintf(text, args...)})
 	}
-	places := t.regionsWithUpstreams()
+	regions := t.regionsWithUpstreams()
 	owners := map[string]Path{}
 	for _, p := range t.Paths() {
-		t.checkShift(p, places, report)
+		t.checkShift(p, regions, report)
 		t.checkDrainUntil(p, report)
 		t.checkUpstreams(p, owners, report)
 	}
@@ -36,7 +36,7 @@
 	return m
 }
 
-func (t Tree) checkShift(p Path, places map[Path]bool, report reporter) {
+func (t Tree) checkShift(p Path, regions map[Path]bool, report reporter) {
 	n := t.nodes[p]
 	to, has := n[KeyShiftTo]
 	if !has {
@@ -53,10 +53,10 @@
 		}
 	}
 	if string(to) == p.Region {
-		report(p, KeyShiftTo, "is the region itself")
+		report(p, KeyShiftTo, "must differ from the region itself")
 		return
 	}
-	if !places[Path{Region: string(to), Service: p.Service}] {
+	if !regions[Path{Region: string(to), Service: p.Service}] {
 		report(p, KeyShiftTo, "service %s has no upstreams in region %q", p.Service, to)
 	}
 }
@@ -68,8 +68,8 @@
 	}
 }
 
-// checkUpstreams refuses an address under two services or sites: its slots
-// would be counted twice.
+// checkUpstreams rejects an address that is listed for two services or sites, because
+// its slots would be counted twice.
 func (t Tree) checkUpstreams(p Path, owners map[string]Path, report reporter) {
 	for _, a := range t.nodes[p][KeyUpstreams].list() {
 		if q, ok := owners[a]; ok {
@@ -81,14 +81,14 @@
 }
 
 func (t Tree) checkHosts(report reporter) {
-	owner := map[string]Path{}
+	owners := map[string]Path{}
 	for _, p := range t.Paths() {
 		for _, h := range t.nodes[p][KeyHosts].list() {
-			if q, ok := owner[h]; ok {
-				report(p, KeyHosts, "host %q already names %s", h, q)
+			if q, ok := owners[h]; ok {
+				report(p, KeyHosts, "host %q already belongs to %s", h, q)
 				continue
 			}
-			owner[h] = p
+			owners[h] = p
 		}
 	}
 }
--- a/internal/version/resolver/doc.go
+++ b/internal/version/resolver/doc.go
@@ -1,8 +1,8 @@
-// Package resolver is the tree of settings: root, regions, failure domains and
-// services, each inheriting from the level above.
+// Package resolver implements the tree of settings: root, regions, failure domains and
+// services, each of which inherits from the levels above.
 //
-// A Tree holds only what operators set. Resolve turns it into the effective
-// settings of every service at every site, and Explain says from which level a
-// value comes. A tree is checked as a whole, and all problems are reported
-// together, before any change to it is accepted.
+// A Tree holds only the values that operators have set. Resolve computes the effective
+// settings of every service at every site, and Explain reports the level at which each
+// value is set. Before a change is accepted, the whole resulting tree is checked and
+// all problems are reported together.
 package resolver
--- a/internal/version/resolver/key.go
+++ b/internal/version/resolver/key.go
@@ -12,7 +12,7 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// The settings of the tree.
+// Keys of the settings in the tree.
 const (
 	KeyUpstreams         Key = "Upstreams"
 	KeySlots             Key = "Slots"
@@ -49,8 +49,8 @@
 	levelRegionService
 	levelDomainService
 
-	allLevels = levelRoot | levelRegion | levelDomain | levelService | levelRegionService | levelDomainService
-	places    = levelRoot | levelRegion | levelDomain
+	allLevels   = levelRoot | levelRegion | levelDomain | levelService | levelRegionService | levelDomainService
+	placeLevels = levelRoot | levelRegion | levelDomain
 )
 
 const (
@@ -65,7 +65,8 @@
 	formClass
 )
 
-// shiftPrefix starts the keys that make up one shift and change together.
+// shiftPrefix is the common prefix of the keys that define one shift. They conflict
+// with each other.
 const shiftPrefix = "Shift"
 
 var levelNames = []struct {
@@ -80,47 +81,46 @@
 	{levelDomainService, "a service in a failure domain"},
 }
 
-// definitions is every setting of the tree, in the order in which people read
-// them.
+// definitions lists every setting of the tree in display order.
 var definitions = []Definition{
 	{Key: KeyUpstreams, form: formAddresses, levels: levelDomainService, Help: "addresses of the servers of the service at the site"},
-	{Key: KeySlots, form: formCount, levels: allLevels, Default: "4", min: 1, max: 100000, Help: "requests that one upstream serves at the same time"},
-	{Key: KeyClass, form: formClass, levels: allLevels, Default: Value(ClassShort), Help: "short (answers of a few KB) or export (long streams)"},
-	{Key: KeyLimit, form: formPercent, levels: allLevels, Default: "85%", max: 100, Help: "part of the slots that the plan may fill"},
-	{Key: KeyDeadline, form: formCount, levels: allLevels, Default: "10000", max: 24 * 3600 * 1000, Help: "longest time for a request whose caller names none; 0 is no limit"},
-	{Key: KeyMaxBody, form: formCount, levels: allLevels, Default: "16777216", max: 1 << 40, Help: "largest body of a request in bytes"},
-	{Key: KeyExportRate, form: formCount, levels: allLevels, Default: "0", max: 1 << 40, Help: "bytes a second that exports of a region may send to another; 0 is no limit"},
-	{Key: KeyQueueLength, form: formCount, levels: allLevels, Default: "64", max: 100000, Help: "requests that wait at one owner; more are refused"},
-	{Key: KeyLookupLifetime, form: formCount, levels: allLevels, Default: "2000", min: 100, max: 3600 * 1000, Help: "how long callers keep the answer to a look-up"},
-	{Key: KeyEntries, form: formCount, levels: allLevels, Default: "3", min: 1, max: 16, Help: "entries named in the answer to a look-up"},
-	{Key: KeyHosts, form: formWords, levels: levelService, Help: "values of the Host header that name the service"},
-	{Key: KeyIdempotentMethods, form: formWords, levels: allLevels, Default: "GET,HEAD,OPTIONS", Help: "methods that may run twice without harm"},
-	{Key: KeyRefusalHeader, form: formText, levels: allLevels, Default: "X-Not-Run", Help: "header by which an upstream says that it did not run a request"},
-	{Key: KeyDrainHeader, form: formText, levels: allLevels, Default: "X-Draining", Help: "header by which an upstream says that it is leaving"},
+	{Key: KeySlots, form: formCount, levels: allLevels, Default: "4", min: 1, max: 100000, Help: "requests that one upstream serves concurrently"},
+	{Key: KeyClass, form: formClass, levels: allLevels, Default: Value(ClassShort), Help: "short (responses of a few KB) or export (long streams)"},
+	{Key: KeyLimit, form: formPercent, levels: allLevels, Default: "85%", max: 100, Help: "fraction of the slots that the plan may fill"},
+	{Key: KeyDeadline, form: formCount, levels: allLevels, Default: "10000", max: 24 * 3600 * 1000, Help: "deadline of a request whose caller sets none; 0 means no limit"},
+	{Key: KeyMaxBody, form: formCount, levels: allLevels, Default: "16777216", max: 1 << 40, Help: "maximum size of a request body in bytes"},
+	{Key: KeyExportRate, form: formCount, levels: allLevels, Default: "0", max: 1 << 40, Help: "bytes per second that exports of a region may send to another region; 0 means no limit"},
+	{Key: KeyQueueLength, form: formCount, levels: allLevels, Default: "64", max: 100000, Help: "requests that may wait at one owner; further ones are refused"},
+	{Key: KeyLookupLifetime, form: formCount, levels: allLevels, Default: "2000", min: 100, max: 3600 * 1000, Help: "how long callers cache a lookup response"},
+	{Key: KeyEntries, form: formCount, levels: allLevels, Default: "3", min: 1, max: 16, Help: "number of entries in a lookup response"},
+	{Key: KeyHosts, form: formWords, levels: levelService, Help: "values of the Host header that select the service"},
+	{Key: KeyIdempotentMethods, form: formWords, levels: allLevels, Default: "GET,HEAD,OPTIONS", Help: "methods whose requests may run more than once"},
+	{Key: KeyRefusalHeader, form: formText, levels: allLevels, Default: "X-Not-Run", Help: "header by which an upstream reports that it did not run a request"},
+	{Key: KeyDrainHeader, form: formText, levels: allLevels, Default: "X-Draining", Help: "header by which an upstream reports that it is leaving"},
 	{Key: KeyProbePath, form: formText, levels: allLevels, Default: "/health", Help: "path that the owner of an upstream probes"},
-	{Key: KeyProbeInterval, form: formCount, levels: allLevels, Default: "2000", min: 100, max: 3600 * 1000, Help: "time between two probes of an upstream"},
-	{Key: KeyRetryBudget, form: formPercent, levels: allLevels, Default: "10%", max: 100, Help: "retries allowed, in per cent of first tries"},
-	{Key: KeyDrain, form: formBool, levels: allLevels, Default: "false", Help: "move all traffic away; true at any level above counts"},
-	{Key: KeyDrainUntil, form: formTime, levels: allLevels, Help: "when the drain at the same level ends by itself"},
-	{Key: KeyMoveCap, form: formRate, levels: allLevels, Default: "600%/min", max: 60000, Help: "how fast traffic moves when no shift caps it"},
-	{Key: KeyShiftTo, form: formText, levels: levelRegionService, Help: "region that takes a part of the traffic of this one"},
-	{Key: KeyShiftShare, form: formPercent, levels: levelRegionService, max: 100, Help: "part of the region's traffic that the shift moves"},
-	{Key: KeyShiftCap, form: formRate, levels: levelRegionService, max: 60000, Help: "how fast the shift moves traffic, in per cent of the region's traffic a minute"},
-	{Key: KeyKeyRetention, form: formCount, levels: levelRoot, Default: "600000", min: 1000, max: 600000, Help: "how long an Idempotency-Key is remembered after its request ended"},
+	{Key: KeyProbeInterval, form: formCount, levels: allLevels, Default: "2000", min: 100, max: 3600 * 1000, Help: "interval between probes of an upstream"},
+	{Key: KeyRetryBudget, form: formPercent, levels: allLevels, Default: "10%", max: 100, Help: "retries allowed, as a percentage of first attempts"},
+	{Key: KeyDrain, form: formBool, levels: allLevels, Default: "false", Help: "move all traffic away; true at a higher level takes precedence"},
+	{Key: KeyDrainUntil, form: formTime, levels: allLevels, Help: "when the drain at the same level expires"},
+	{Key: KeyMoveCap, form: formRate, levels: allLevels, Default: "600%/min", max: 60000, Help: "maximum rate at which traffic moves when no shift caps it"},
+	{Key: KeyShiftTo, form: formText, levels: levelRegionService, Help: "region that receives part of the traffic of this region"},
+	{Key: KeyShiftShare, form: formPercent, levels: levelRegionService, max: 100, Help: "fraction of the region's traffic that the shift moves"},
+	{Key: KeyShiftCap, form: formRate, levels: levelRegionService, max: 60000, Help: "maximum rate of the shift, as a percentage of the region's traffic per minute"},
+	{Key: KeyKeyRetention, form: formCount, levels: levelRoot, Default: "600000", min: 1000, max: 600000, Help: "how long an Idempotency-Key is remembered after its request has finished"},
 	{Key: KeyBlockTable, form: formText, levels: levelRoot, Help: "name of the table that maps client blocks to failure domains"},
 }
 
 var definitionsByKey = indexDefinitions()
 
 type (
-	// Key names a setting.
+	// Key is the name of a setting.
 	Key string
 
-	// Value is a setting's value in its canonical text: "6", "true", "30%",
-	// "5%/min", "a,b".
+	// Value is the canonical text of a setting's value, such as "6", "true", "30%",
+	// "5%/min" or "a,b".
 	Value string
 
-	// Class says what kind of answers a service gives.
+	// Class is the kind of responses that a service returns.
 	Class string
 
 	// Definition describes one setting.
@@ -138,7 +138,7 @@
 	level uint8
 )
 
-// The classes, in the order in which overload gives way: export first.
+// Classes of services. Under overload, export is shed before short.
 const (
 	ClassShort  Class = "short"
 	ClassExport Class = "export"
@@ -173,7 +173,7 @@
 	return levelRoot
 }
 
-// normalize checks text against the definition and returns its canonical form.
+// normalize validates text against the definition and returns its canonical form.
 func (d Definition) normalize(text string) (Value, error) {
 	text = strings.TrimSpace(text)
 	switch d.form {
@@ -192,7 +192,7 @@
 	case formTime:
 		t, err := time.Parse(time.RFC3339, text)
 		if err != nil {
-			return "", fmt.Errorf("%q is not a time such as 2026-12-02T18:00:00Z", text)
+			return "", fmt.Errorf("%q is not an RFC 3339 time such as 2026-12-02T18:00:00Z", text)
 		}
 		return Value(t.UTC().Format(time.RFC3339)), nil
 	case formAddresses:
@@ -205,7 +205,7 @@
 		}
 	}
 	if text == "" {
-		return "", fmt.Errorf("is empty; unset it instead")
+		return "", fmt.Errorf("is empty; unset the setting instead")
 	}
 	return Value(text), nil
 }
@@ -224,7 +224,7 @@
 func (d Definition) normalizePercent(text, unit string) (Value, error) {
 	f, err := strconv.ParseFloat(strings.TrimSuffix(text, unit), 64)
 	if err != nil || !strings.HasSuffix(text, unit) {
-		return "", fmt.Errorf("%q is not a number with %q behind it", text, unit)
+		return "", fmt.Errorf("%q is not a number followed by %q", text, unit)
 	}
 	if !(f > 0 && f <= float64(d.max)) {
 		return "", fmt.Errorf("%s is outside 0%s to %d%s", text, unit, d.max, unit)
@@ -240,7 +240,7 @@
 			return "", fmt.Errorf("%q is not an IP number with a port", a)
 		}
 		if seen[a] {
-			return "", fmt.Errorf("%q stands twice", a)
+			return "", fmt.Errorf("%q is listed twice", a)
 		}
 		seen[a] = true
 	}
@@ -251,7 +251,7 @@
 	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-// conflictGroup returns the name under which a key races with others at its path.
+// conflictGroup returns the group of k. Changes to settings of the same group conflict.
 func conflictGroup(k Key) string {
 	switch {
 	case strings.HasPrefix(string(k), shiftPrefix):
@@ -285,7 +285,7 @@
 	return timekeeper.Millis(t.UnixMilli())
 }
 
-// tomlKind returns the TOML kind by which a value of d is written.
+// tomlKind returns the TOML kind in which values of d are written.
 func (d Definition) tomlKind() parser.Kind {
 	switch d.form {
 	case formCount:
--- a/internal/version/resolver/path.go
+++ b/internal/version/resolver/path.go
@@ -10,11 +10,11 @@
 var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,39}$`)
 
 type (
-	// ServiceName names a service.
+	// ServiceName is the name of a service.
 	ServiceName string
 
-	// Path names a node of the tree. The zero value is the root. Service may
-	// be set at any level and then speaks of that service beneath the level.
+	// Path identifies a node of the tree. The zero value is the root. Service may be
+	// set at any level; the path then refers to that service at and below the level.
 	Path struct {
 		Region  string
 		Domain  string
@@ -33,7 +33,7 @@
 	}
 	p.Service = ServiceName(service)
 	if named && service == "" {
-		return p, eris.Errorf("path %q: no service behind the colon", s)
+		return p, eris.Errorf("path %q: no service after the colon", s)
 	}
 	return p, p.check(s)
 }
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// String prints p so that ParsePath reads it; the root is "/".
+// String returns p in the form that ParsePath accepts. The root is "/".
 func (p Path) String() string {
 	s := p.Region
 	if p.Domain != "" {
@@ -68,9 +68,9 @@
 	return p
 }
 
-// lookupOrder lists the nodes from which p takes values, the nearest first. A node
-// that names the service is nearer than any that does not; among each kind the
-// deeper is nearer.
+// lookupOrder returns the nodes from which p inherits, in order of precedence. Nodes
+// that name the service precede nodes that do not; within each group the deeper node
+// comes first.
 func (p Path) lookupOrder() []Path {
 	var out []Path
 	if p.Service != "" {
@@ -92,7 +92,7 @@
 	return out
 }
 
-// Covers tells whether a setting at p can reach q or what lies beneath it.
+// Covers reports whether a setting at p can affect q or a node below it.
 func (p Path) Covers(q Path) bool {
 	return (p.Region == "" || p.Region == q.Region) &&
 		(p.Domain == "" || p.Domain == q.Domain) &&
--- a/internal/version/resolver/resolved.go
+++ b/internal/version/resolver/resolved.go
@@ -9,8 +9,8 @@
 )
 
 type (
-	// Service is the effective settings of one service at one site. Sites
-	// without upstreams have them too, since callers reach entries there.
+	// Service holds the effective settings of one service at one site. Sites without
+	// upstreams have settings too, because callers contact entries there.
 	Service struct {
 		Name      ServiceName
 		Site      registrar.Site
@@ -20,8 +20,8 @@
 		Limit     float64
 		Deadline  timekeeper.Millis
 		MaxBody   int64
-		// ExportRate is how many bytes a second exports of the region may send
-		// to another, 0 for no limit.
+		// ExportRate is the number of bytes per second that exports of the region may
+		// send to another region; 0 means no limit.
 		ExportRate        int64
 		QueueLength       int
 		LookupLifetime    timekeeper.Millis
@@ -32,15 +32,15 @@
 		ProbePath         string
 		ProbeInterval     timekeeper.Millis
 		RetryBudget       float64
-		// MoveCap is the part of the traffic that may move in a minute.
+		// MoveCap is the largest fraction of the traffic that may move per minute.
 		MoveCap float64
-		// Drained tells that this level or one above is drained, until the
-		// wall time DrainedUntil when that is not 0.
+		// Drained reports whether this level or a higher one is drained. The drain
+		// expires at the wall-clock time DrainedUntil, or never if that is 0.
 		Drained      bool
 		DrainedUntil timekeeper.Millis
 	}
 
-	// Shift is traffic that an operator moves between regions.
+	// Shift moves a fraction of the traffic of one region to another.
 	Shift struct {
 		Service ServiceName
 		From    string
@@ -50,8 +50,7 @@
 		Cap float64
 	}
 
-	// Resolved is a whole tree with every value inherited. It is never
-	// changed after Resolve.
+	// Resolved holds the effective settings of a whole tree. It is immutable.
 	Resolved struct {
 		Services   []ServiceName
 		Sites      []registrar.Site
@@ -65,8 +64,7 @@
 	}
 )
 
-// Resolve works out the effective settings of every service at every site that
-// the tree names.
+// Resolve computes the effective settings of every service at every site in the tree.
 func (t Tree) Resolve() *Resolved {
 	r := &Resolved{
 		bySite: map[registrar.Site]map[ServiceName]*Service{},
@@ -113,7 +111,7 @@
 	return registrar.Site(p.Region + "/" + p.Domain)
 }
 
-// PathOf returns the path of site, and of a service there when one is named.
+// PathOf returns the path of a site, or of a service at that site if n is not empty.
 func PathOf(s registrar.Site, n ServiceName) Path {
 	return Path{Region: s.Region(), Domain: s.Domain(), Service: n}
 }
@@ -160,8 +158,9 @@
 	return s
 }
 
-// drained looks at every level above p. A drain further up is not lifted by
-// "Drain = false" beneath it: whoever drains a region means all of it.
+// drained reports whether p or any level above it is drained, and until when. "Drain =
+// false" at a lower level does not override a drain above it: draining a region means
+// all of the region.
 func (t Tree) drained(p Path) (bool, timekeeper.Millis) {
 	var drained bool
 	var until timekeeper.Millis
@@ -180,34 +179,35 @@
 	return drained, until
 }
 
-// DrainedAt tells whether the service is drained at wall time now.
+// DrainedAt reports whether the service is drained at wall-clock time now.
 func (s *Service) DrainedAt(now timekeeper.Millis) bool {
 	return s.Drained && (s.DrainedUntil == 0 || now < s.DrainedUntil)
 }
 
-// Idempotent tells whether a request with method may run twice.
+// Idempotent reports whether a request with the given method may run more than once.
 func (s *Service) Idempotent(method string) bool {
 	return slices.Contains(s.IdempotentMethods, method)
 }
 
-// Capacity returns how many requests the upstreams of s serve at once.
+// Capacity returns the number of requests that the upstreams of s serve concurrently.
 func (s *Service) Capacity() int {
 	return len(s.Upstreams) * s.Slots
 }
 
-// At returns the settings of a service at a site, or nil when the tree names
-// one of them nowhere.
+// At returns the settings of a service at a site, or nil if the tree does not contain
+// the service or the site.
 func (r *Resolved) At(site registrar.Site, name ServiceName) *Service {
 	return r.bySite[site][name]
 }
 
-// Knows tells whether the tree names the service.
+// Knows reports whether the tree contains the service.
 func (r *Resolved) Knows(name ServiceName) bool {
 	_, ok := slices.BinarySearch(r.Services, name)
 	return ok
 }
 
-// ByHost returns the service that a Host header names.
+// ByHost returns the service that a Host header value selects, and whether there is
+// one.
 func (r *Resolved) ByHost(host string) (ServiceName, bool) {
 	n, ok := r.hosts[host]
 	return n, ok
--- a/internal/version/resolver/resolver_test.go
+++ b/internal/version/resolver/resolver_test.go
@@ -13,8 +13,8 @@
 	"github.com/gullvale/gullvale/internal/version/resolver"
 )
 
-// TestFiles reads each case under testdata: a tree, and the problems or the
-// explanations that it must give.
+// TestFiles runs the cases under testdata. Each holds a tree and the problems or
+// explanations expected for it.
 func TestFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(files) == 0 {
@@ -71,7 +71,7 @@
 	}
 }
 
-// drawEdit draws an edit that may be valid or not.
+// drawEdit generates an edit that may be valid or invalid.
 func drawEdit(t *rapid.T) resolver.Edit {
 	e := resolver.Edit{
 		Path: rapid.SampledFrom([]string{"/", "r", "r/a", "r/b", "q", ":s", "r:s", "r/a:s", "q/a:s"}).Draw(t, "path"),
@@ -87,8 +87,8 @@
 	return e
 }
 
-// TestEditsCanBeTakenBack applies random edits. What is accepted can be written
-// as TOML and read again, and its inverse leads back.
+// TestEditsCanBeTakenBack applies random edits. An accepted tree survives a round trip
+// through TOML, and the inverse of an edit restores the tree before it.
 func TestEditsCanBeTakenBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := resolver.Tree{}
@@ -100,7 +100,7 @@
 			}
 			back, _ := next.Apply(tree.Inverse(edits))
 			if len(back.Difference(tree)) > 0 {
-				t.Fatalf("inverse of %v does not lead back", edits)
+				t.Fatalf("inverse of %v does not restore the tree", edits)
 			}
 			tree = next
 		}
@@ -110,7 +110,7 @@
 		}
 		read, problems := resolver.Tree{}.Apply(again)
 		if len(problems) > 0 || len(read.Difference(tree)) > 0 || len(tree.Difference(read)) > 0 {
-			t.Fatalf("read back otherwise: %v", problems)
+			t.Fatalf("tree differs after a round trip through TOML: %v", problems)
 		}
 	})
 }
@@ -149,8 +149,8 @@
 	})
 }
 
-// BenchmarkChange applies one edit and works out all effective settings anew, as
-// every daemon does for every change.
+// BenchmarkChange applies one edit and resolves all effective settings, as every daemon
+// does for every change.
 func BenchmarkChange(b *testing.B) {
 	const services = 5
 	for _, sites := range []int{6, 25, 75} {
--- a/internal/version/resolver/toml.go
+++ b/internal/version/resolver/toml.go
@@ -7,7 +7,7 @@
 	"github.com/gullvale/gullvale/internal/version/parser"
 )
 
-// The table names of the tree in TOML, such as
+// Names of the TOML tables that make up a path of the tree, such as
 // [Region.erie.Domain.a.Service.keg-ledger].
 const (
 	tableRegion  = "Region"
@@ -42,7 +42,7 @@
 	var p Path
 	for len(path) > 1 {
 		if len(path) < 3 {
-			return p, "", fmt.Errorf("has no setting behind %s", path[0])
+			return p, "", fmt.Errorf("has no setting after %s", path[0])
 		}
 		switch {
 		case path[0] == tableRegion && p == Path{}:
@@ -74,7 +74,7 @@
 	parser.KindList:   "a list of strings",
 }
 
-// TOML writes the tree so that ReadTOML reads it back.
+// TOML returns the tree as TOML that ReadTOML accepts.
 func (t Tree) TOML() string {
 	var b strings.Builder
 	var last Path
--- a/internal/version/resolver/tree.go
+++ b/internal/version/resolver/tree.go
@@ -10,34 +10,34 @@
 )
 
 type (
-	// Edit sets one value, or takes it away.
+	// Edit sets or unsets one value.
 	Edit struct {
 		Path  string
 		Key   Key
 		Value Value `json:",omitempty"`
 		Unset bool  `json:",omitempty"`
-		// position is where the edit was read from, for messages.
+		// position is the place the edit was read from, for error messages.
 		position parser.Position
 	}
 
-	// Tree is what operators set. The zero value is an empty tree. A tree is
-	// never changed: Apply returns another.
+	// Tree holds the values set by operators. The zero value is an empty tree. A tree
+	// is immutable: Apply returns a new one.
 	Tree struct {
 		nodes map[Path]map[Key]Value
 	}
 
-	// Source is one value in force and the level it comes from.
+	// Source is one value in force and the level at which it is set.
 	Source struct {
 		Key   Key
 		Value Value
 		// From is the path at which it is set, or "default".
 		From string
-		// Own tells whether it is set at the very path asked for.
+		// Own reports whether the value is set at the requested path itself.
 		Own bool
 	}
 )
 
-// FromDefault is the Source.From of a value nobody set.
+// FromDefault is the Source.From of a value that is not set anywhere.
 const FromDefault = "default"
 
 // Apply returns the tree after edits. Problems of single edits and of the
@@ -61,8 +61,8 @@
 	return strings.TrimSpace(e.Path + " " + string(e.Key))
 }
 
-// position index by path and key, so that a fault of the whole tree can still
-// point at the line that brought it.
+// positionsOf indexes the positions of edits by path and key, so that a problem of the
+// whole tree can be reported at the line that caused it.
 func positionsOf(edits []Edit) map[string]parser.Position {
 	m := map[string]parser.Position{}
 	for _, e := range edits {
@@ -117,8 +117,8 @@
 	return strings.Join(names, ", ")
 }
 
-// suggestion names the setting that differs from k in case only, or starts
-// like it.
+// suggestion returns a hint that names the setting that differs from k only in case, or
+// else the first one with the same three-letter prefix.
 func suggestion(k Key) string {
 	for _, d := range definitions {
 		if strings.EqualFold(string(d.Key), string(k)) {
@@ -133,7 +133,7 @@
 	return ""
 }
 
-// Paths returns every node that has a value, in order.
+// Paths returns every node that has a value, sorted.
 func (t Tree) Paths() []Path {
 	return slices.SortedFunc(maps.Keys(t.nodes), comparePaths)
 }
@@ -145,13 +145,14 @@
 	)
 }
 
-// Get returns the value set at p itself.
+// Get returns the value set at p itself, and whether there is one.
 func (t Tree) Get(p Path, k Key) (Value, bool) {
 	v, ok := t.nodes[p][k]
 	return v, ok
 }
 
-// lookup returns the value of k in force at p and where it comes from.
+// lookup returns the value of k in force at p and the path at which it is set, or
+// FromDefault.
 func (t Tree) lookup(p Path, k Key) (Value, string) {
 	for _, q := range p.lookupOrder() {
 		if v, ok := t.nodes[q][k]; ok {
@@ -161,8 +162,8 @@
 	return definitionsByKey[k].Default, FromDefault
 }
 
-// Explain lists the values in force at p with the level each comes from.
-// Settings that can neither stand at p nor be inherited there are left out.
+// Explain returns the values in force at p with the level at which each is set.
+// Settings without a value are omitted.
 func (t Tree) Explain(p Path) []Source {
 	var out []Source
 	for _, d := range definitions {
@@ -175,7 +176,7 @@
 	return out
 }
 
-// Beneath returns the edits that rebuild every value set at p or beneath it.
+// Beneath returns the edits that recreate every value set at p or below it.
 func (t Tree) Beneath(p Path) []Edit {
 	var out []Edit
 	for _, q := range t.Paths() {
@@ -191,7 +192,7 @@
 	return out
 }
 
-// Inverse returns the edits that take back what edits does to t.
+// Inverse returns the edits that undo the effect of edits on t.
 func (t Tree) Inverse(edits []Edit) []Edit {
 	var out []Edit
 	for i := len(edits) - 1; i >= 0; i-- {
@@ -206,7 +207,7 @@
 	return out
 }
 
-// Difference returns the edits that lead from t to u.
+// Difference returns the edits that turn t into u.
 func (t Tree) Difference(u Tree) []Edit {
 	var out []Edit
 	for _, e := range t.Beneath(Path{}) {
@@ -224,8 +225,8 @@
 	return out
 }
 
-// Clash tells whether two changes touch the same setting: the same group of
-// keys at paths of which one covers the other.
+// Clash reports whether two changes conflict: whether they edit settings of the same
+// group at paths of which one covers the other.
 func Clash(a, b []Edit) bool {
 	for _, x := range a {
 		for _, y := range b {
--- a/internal/version/resolver/without.go
+++ b/internal/version/resolver/without.go
@@ -2,8 +2,8 @@
 
 import "github.com/gullvale/gullvale/pkg/registrar"
 
-// Without returns r as it would be if some sites lost all their upstreams. Their
-// callers stay.
+// Without returns a copy of r in which the sites selected by lost have no upstreams.
+// Their callers remain.
 func (r *Resolved) Without(lost func(registrar.Site) bool) *Resolved {
 	next := *r
 	next.bySite = make(map[registrar.Site]map[ServiceName]*Service, len(r.bySite))
@@ -14,9 +14,9 @@
 		}
 		next.bySite[site] = make(map[ServiceName]*Service, len(services))
 		for name, s := range services {
-			bare := *s
-			bare.Upstreams = nil
-			next.bySite[site][name] = &bare
+			emptied := *s
+			emptied.Upstreams = nil
+			next.bySite[site][name] = &emptied
 		}
 	}
 	return &next
