--- a/internal/version/applier/applier.go
+++ b/internal/version/applier/applier.go
@@ -11,8 +11,8 @@
 )
 
 type (
-	// Applier holds the tree at a number. The zero value is the empty tree at
-	// number 0. It is safe for concurrent use.
+	// Applier holds the tree of settings and the number of the last change applied to
+	// it. The zero value is the empty tree at number 0. It is safe for concurrent use.
 	Applier struct {
 		lock     sync.Mutex
 		tree     resolver.Tree
@@ -25,22 +25,23 @@
 	// Content is the body of a change of settings.
 	Content struct {
 		Edits []resolver.Edit
-		// Inverse takes the edits back.
+		// Inverse undoes Edits.
 		Inverse []resolver.Edit
 	}
 )
 
-// historyLength is how many changes are kept for racing writers and for undo.
+// historyLength is the maximum number of changes kept for resolving concurrent writes
+// and for undo.
 const historyLength = 1000
 
-// ContentOf returns what a change does.
+// ContentOf decodes the body of a change.
 func ContentOf(c recorder.Change) (Content, error) {
 	var content Content
 	err := json.Unmarshal(c.Body, &content)
 	return content, eris.Wrapf(err, "change %d", c.Number)
 }
 
-// Restore starts from a snapshot, unless a later state is here already.
+// Restore replaces the state with a snapshot unless the current state is as recent.
 func (a *Applier) Restore(s recorder.Snapshot) error {
 	if s.Number == 0 {
 		return nil
@@ -49,7 +50,7 @@
 	if err := json.Unmarshal(s.Body, &edits); err != nil {
 		return eris.Wrapf(err, "snapshot %d", s.Number)
 	}
-	// The tree was checked when its changes were accepted.
+	// Problems are ignored: the tree was checked when its changes were accepted.
 	tree, _ := resolver.Tree{}.Apply(edits)
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// Add applies a change, or keeps it until those before it have come. It
-// reports whether the number went up.
+// Add applies a change, or keeps it until all changes before it have been added. It
+// reports whether the number increased.
 func (a *Applier) Add(c recorder.Change) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -95,8 +96,8 @@
 	}
 }
 
-// apply never fails: a change that was accepted is in force. Edits that this
-// version does not understand are counted and left out.
+// apply never fails, because an accepted change is in force. Edits that this version of
+// the software does not understand are left out, and counted in rejected.
 func (a *Applier) apply(c recorder.Change) {
 	content, err := ContentOf(c)
 	if err != nil {
@@ -119,14 +120,14 @@
 	return a.tree, a.number
 }
 
-// Rejected counts what was accepted but not understood here.
+// Rejected returns the number of problems found while applying accepted changes.
 func (a *Applier) Rejected() uint64 {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	return a.rejected
 }
 
-// History returns the changes behind a number, as far back as they are kept.
+// History returns the changes after a number, as far back as they are kept.
 func (a *Applier) History(after recorder.Number) []recorder.Change {
 	a.lock.Lock()
 	defer a.lock.Unlock()
--- a/internal/version/applier/doc.go
+++ b/internal/version/applier/doc.go
@@ -1,3 +1,3 @@
-// Package applier turns the log of changes into the tree of settings in force.
-// It applies each change once and in order; its number never goes down.
+// Package applier applies the log of changes to the tree of settings. It applies each
+// change once and in order; the number of the state never decreases.
 package applier
--- a/internal/version/authenticator/credential.go
+++ b/internal/version/authenticator/credential.go
@@ -7,27 +7,30 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxCredentialLength is the length in bytes above which no credential is looked at.
+// maxCredentialLength is the maximum length of a credential in bytes. Longer ones are
+// malformed.
 const maxCredentialLength = 256
 
-// The reasons for which a request has no credential that could be one.
+// Results of reading the credential of a request.
 const (
-	// Sound is a credential that may be an API key.
+	// Sound means that the credential is well-formed and may be an API key.
 	Sound CredentialStatus = ""
-	// Missing is none at all, or an empty one.
+	// Missing means that there is no credential or an empty one.
 	Missing CredentialStatus = "no key"
-	// Repeated is more than one: which of them counts must not be a matter of who reads.
+	// Repeated means that there is more than one credential. Such a request is
+	// rejected, because different readers could use different ones.
 	Repeated CredentialStatus = "several keys"
-	// Malformed is one that no API key looks like.
+	// Malformed means that no API key has the form of the credential.
 	Malformed CredentialStatus = "malformed key"
 )
 
 type (
-	// Digest stands for an API key. It is cut from a cryptographic hash: whoever reads it
-	// does not know the key.
+	// Digest identifies an API key. It is a truncated SHA-256 hash, from which the key
+	// cannot be recovered.
 	Digest [16]byte
 
-	// CredentialStatus says why a request carries no credential that could be an API key.
+	// CredentialStatus is the reason why a request carries no usable credential, or
+	// Sound.
 	CredentialStatus string
 )
 
@@ -37,22 +40,23 @@
 	return Digest(sum[:len(Digest{})])
 }
 
-// ParseDigest reads what String returns.
+// ParseDigest parses the output of Digest.String.
 func ParseDigest(s string) (d Digest, err error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != len(d) {
-		// The text is not repeated here: it may be a key that was written by mistake.
-		return d, eris.Errorf("digest of a key is not %d hexadecimal digits", hex.EncodedLen(len(d)))
+		// The error omits the text: it may be an API key entered by mistake.
+		return d, eris.Errorf("key digest does not consist of %d hexadecimal digits", hex.EncodedLen(len(d)))
 	}
 	return Digest(b), nil
 }
 
-// String returns the digest in hexadecimal digits.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string {
 	return hex.EncodeToString(d[:])
 }
 
-// Credential returns the one credential among the values of a header field.
+// Credential returns the only credential among the values of a header field, or the
+// reason why there is none.
 func Credential(values []string) (string, CredentialStatus) {
 	switch {
 	case len(values) == 0 || len(values) == 1 && values[0] == "":
@@ -65,8 +69,8 @@
 	return values[0], Sound
 }
 
-// wellFormed tells whether an API key may look so: printable ASCII without spaces or commas, by
-// which fields are joined on their way.
+// wellFormed reports whether credential has the form of an API key: printable ASCII
+// without spaces, and without commas, with which proxies join repeated fields.
 func wellFormed(credential string) bool {
 	if len(credential) > maxCredentialLength {
 		return false
--- a/internal/version/authenticator/directory.go
+++ b/internal/version/authenticator/directory.go
@@ -15,43 +15,44 @@
 	// Name is the name of an organisation.
 	Name string
 
-	// Rank orders organisations: 0 is the most urgent.
+	// Rank is the priority of an organisation; 0 is the most urgent.
 	Rank int
 
-	// Limit bounds the requests of an organisation over all daemons together. The zero value
-	// is no limit.
+	// Limit bounds the requests of an organisation over all daemons together. The zero
+	// value means no limit.
 	Limit struct {
-		// PerSecond is the rate of requests that it may send for ever, and Burst how many
-		// it may send beyond that at once.
+		// PerSecond is the sustained rate of requests, and Burst the number of requests
+		// that may exceed it at once.
 		PerSecond float64
 		Burst     float64
 	}
 
-	// Organisation is whom callers belong to. Its fields must not be changed once it is part
-	// of a Directory.
+	// Organisation is an organisation to which callers belong. Its fields must not be
+	// modified once it is part of a Directory.
 	Organisation struct {
 		Name Name
 		// Keys are the digests of its API keys.
 		Keys  []Digest
 		Rank  Rank
 		Limit Limit
-		// Regions are where its requests may run; none means anywhere.
+		// Regions are the regions in which its requests may run; none means all.
 		Regions []string
 
 		hash hasher.Hash
-		// regionsHash stands for Regions, 0 for none.
+		// regionsHash is a hash of Regions, or 0 if there are none.
 		regionsHash hasher.Hash
 	}
 
-	// Directory is the organisations of one version. The zero value has none.
+	// Directory holds the organisations of one version of the configuration. The zero
+	// value has none.
 	Directory struct {
 		holders map[Digest]*Organisation
 		byHash  map[hasher.Hash]*Organisation
 	}
 )
 
-// New checks organisations and returns their directory. It reports all that is wrong at
-// once. A key that two of them hold is nobody's.
+// New validates organisations and returns their directory. The error joins all problems
+// found. A key that two organisations share belongs to neither.
 func New(list []Organisation) (*Directory, error) {
 	d := &Directory{
 		holders: make(map[Digest]*Organisation, len(list)),
@@ -63,7 +64,7 @@
 		o.setHashes()
 		problems = append(problems, o.check()...)
 		if _, twice := d.byHash[o.hash]; twice {
-			problems = append(problems, eris.Errorf("organisation %q is there twice", o.Name))
+			problems = append(problems, eris.Errorf("organisation %q is defined twice", o.Name))
 			continue
 		}
 		d.byHash[o.hash] = o
@@ -73,7 +74,8 @@
 	return d, errors.Join(problems...)
 }
 
-// addKeys notes the keys of an organisation.
+// addKeys adds the keys of an organisation. A key that another organisation has too
+// gets a nil holder.
 func (d *Directory) addKeys(o *Organisation) (problems []error) {
 	for _, k := range o.Keys {
 		other, held := d.holders[k]
@@ -82,18 +84,18 @@
 			d.holders[k] = o
 		case other != o:
 			d.holders[k] = nil
-			problems = append(problems, eris.Errorf("organisation %q has a key that another one has too, digest %s", o.Name, k))
+			problems = append(problems, eris.Errorf("organisation %q shares a key with another organisation, digest %s", o.Name, k))
 		}
 	}
 	return problems
 }
 
-// Holder returns the organisation that holds an API key, nil if none does.
+// Holder returns the organisation that holds an API key, or nil if none does.
 func (d *Directory) Holder(key string) *Organisation {
 	return d.holders[DigestOf(key)]
 }
 
-// Known returns the organisation whose name has a hash, nil for none.
+// Known returns the organisation whose name has the hash h, or nil if there is none.
 func (d *Directory) Known(h hasher.Hash) *Organisation {
 	if d == nil {
 		return nil
@@ -101,12 +103,13 @@
 	return d.byHash[h]
 }
 
-// Required tells whether requests must say whose they are. A nil Directory requires nothing.
+// Required reports whether requests must carry a credential. A nil Directory requires
+// none.
 func (d *Directory) Required() bool {
 	return d != nil
 }
 
-// All returns the organisations in the order of their names.
+// All returns the organisations sorted by name.
 func (d *Directory) All() []*Organisation {
 	if d == nil {
 		return nil
@@ -122,18 +125,19 @@
 	return len(d.byHash)
 }
 
-// Hash identifies an organisation by its name, across versions.
+// Hash returns a hash of the name. It identifies the organisation across versions.
 func (o *Organisation) Hash() hasher.Hash {
 	return o.hash
 }
 
-// Allows tells whether its requests may run in a region. Those of nobody may run anywhere.
+// Allows reports whether requests of the organisation may run in a region. Requests
+// without an organisation, for which o is nil, may run in any region.
 func (o *Organisation) Allows(region string) bool {
 	return o == nil || len(o.Regions) == 0 || slices.Contains(o.Regions, region)
 }
 
-// Bound stands for the regions of the organisation, 0 if it may go anywhere: two with the
-// same regions have the same one.
+// Bound returns a hash of the regions of the organisation, or 0 if its requests may run
+// in any region. Organisations with the same regions have the same hash.
 func (o *Organisation) Bound() hasher.Hash {
 	if o == nil {
 		return 0
@@ -141,7 +145,7 @@
 	return o.regionsHash
 }
 
-// Unlimited tells that there is no limit.
+// Unlimited reports whether there is no limit.
 func (l Limit) Unlimited() bool {
 	return l.PerSecond <= 0
 }
@@ -158,7 +162,7 @@
 		problems = append(problems, eris.New("organisation without a name"))
 	}
 	if o.Limit.PerSecond < 0 || o.Limit.Burst < 0 {
-		problems = append(problems, eris.Errorf("organisation %q: limit of %v requests a second and a burst of %v is below 0", o.Name, o.Limit.PerSecond, o.Limit.Burst))
+		problems = append(problems, eris.Errorf("organisation %q: limit of %v requests per second or burst of %v is below 0", o.Name, o.Limit.PerSecond, o.Limit.Burst))
 	}
 	return problems
 }
--- a/internal/version/authenticator/directory_test.go
+++ b/internal/version/authenticator/directory_test.go
@@ -11,7 +11,7 @@
 	"github.com/gullvale/gullvale/pkg/hasher"
 )
 
-// digests returns those of keys.
+// digests returns the digests of keys.
 func digests(keys ...string) (list []authenticator.Digest) {
 	for _, k := range keys {
 		list = append(list, authenticator.DigestOf(k))
@@ -60,8 +60,9 @@
 	}
 }
 
-// TestSharedKeyIsNobodys gives one key to two organisations. Which of them sends a request
-// with it can't be told, so neither does, and the others keep theirs.
+// TestSharedKeyIsNobodys gives one key to several organisations. The sender of a
+// request with that key is ambiguous, so the key is assigned to none of them; their
+// other keys stay valid.
 func TestSharedKeyIsNobodys(t *testing.T) {
 	is := is.New(t)
 	d, err := authenticator.New([]authenticator.Organisation{
@@ -73,7 +74,7 @@
 	is.Equal(d.Holder("shared"), nil)
 	is.Equal(d.Holder("k1").Name, authenticator.Name("a"))
 	is.Equal(d.Holder("k2").Name, authenticator.Name("b"))
-	is.True(!strings.Contains(err.Error(), "shared")) // no key is written down
+	is.True(!strings.Contains(err.Error(), "shared")) // errors must not contain keys
 }
 
 func TestAllProblemsAtOnce(t *testing.T) {
@@ -84,7 +85,7 @@
 		{Name: "a"},
 	})
 	is.True(err != nil)
-	for _, part := range []string{"without a name", "below 0", `"a" is there twice`} {
+	for _, part := range []string{"without a name", "below 0", `"a" is defined twice`} {
 		is.True(strings.Contains(err.Error(), part))
 	}
 }
@@ -116,7 +117,7 @@
 	is.True(err != nil && !strings.Contains(err.Error(), "mistake"))
 }
 
-// TestHolderAllocatesNothing asks as each request does.
+// TestHolderAllocatesNothing guards the lookup that each request makes.
 func TestHolderAllocatesNothing(t *testing.T) {
 	d, values := many(t, 100), []string{"key-50-5"}
 	n := testing.AllocsPerRun(100, func() {
@@ -128,7 +129,7 @@
 	is.New(t).Equal(n, 0.0)
 }
 
-// many is a directory of n organisations with 10 keys each.
+// many returns a directory of n organisations with 10 keys each.
 func many(t testing.TB, n int) *authenticator.Directory {
 	list := make([]authenticator.Organisation, n)
 	for i := range list {
@@ -144,7 +145,8 @@
 	return d
 }
 
-// BenchmarkHolder is what a request pays with 10,000 organisations of 10 keys.
+// BenchmarkHolder measures the cost per request with 10,000 organisations of 10 keys
+// each.
 func BenchmarkHolder(b *testing.B) {
 	d, values := many(b, 10_000), []string{"key-5000-5"}
 	b.ReportAllocs()
@@ -154,7 +156,8 @@
 	}
 }
 
-// BenchmarkNew is what a version with 10,000 organisations of 10 keys costs a daemon.
+// BenchmarkNew measures the cost for a daemon of building a directory of 10,000
+// organisations with 10 keys each.
 func BenchmarkNew(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/version/authenticator/doc.go
+++ b/internal/version/authenticator/doc.go
@@ -1,5 +1,5 @@
-// Package authenticator holds the organisations of one accepted configuration and tells
-// which of them sends a request, by the API key that the request carries. A Directory never
-// changes; a new version of the configuration is a new Directory. It holds digests of keys
-// and no key.
+// Package authenticator holds the organisations of one accepted configuration and
+// identifies the one that sends a request by the API key in the request. A Directory is
+// immutable; a new version of the configuration is a new Directory. It holds digests of
+// keys, never the keys themselves.
 package authenticator
--- a/internal/version/cataloger/catalog.go
+++ b/internal/version/cataloger/catalog.go
@@ -12,23 +12,23 @@
 )
 
 type (
-	// UpstreamID is what an upstream calls itself. It may start again under the id that
-	// it had.
+	// UpstreamID is the id under which an upstream registers. An upstream may restart
+	// under the same id.
 	UpstreamID string
 
-	// Incarnation is one life of an upstream, from a start to its end. Nothing that is
-	// known of one holds for the next: its connections, its load, the keys that it
-	// remembers.
+	// Incarnation identifies one run of an upstream, from start to termination. No
+	// state carries over to the next incarnation: neither connections nor load nor the
+	// keys that the upstream remembers.
 	Incarnation struct {
 		ID   UpstreamID
 		Born timekeeper.Millis
 	}
 
-	// Upstream is one incarnation as it was last reported.
+	// Upstream is the last reported state of one incarnation.
 	Upstream struct {
 		ID UpstreamID
-		// Born is when it started by its own clock, in milliseconds since the Unix
-		// epoch, 0 if it does not say.
+		// Born is the start time by the clock of the upstream, in milliseconds since
+		// the Unix epoch, or 0 if it is not reported.
 		Born    timekeeper.Millis
 		Service resolver.ServiceName
 		Address string
@@ -36,51 +36,53 @@
 		// Release is the version of the upstream's software.
 		Release string
 		Slots   int
-		// Leaving tells that it takes no new work.
+		// Leaving reports that the upstream accepts no new requests.
 		Leaving bool
-		// ColdUntil is a reading of the monotonic clock, 0 for a warm one.
+		// ColdUntil is the time on the monotonic clock until which the upstream is
+		// cold, or 0 if it is warm.
 		ColdUntil timekeeper.Millis
 
 		hash hasher.Hash
 	}
 
-	// Snapshot is the catalog at one moment. It never changes.
+	// Snapshot is an immutable view of the catalog.
 	Snapshot struct {
-		// Change numbers the snapshots of this process.
+		// Change is the sequence number of the snapshot within this process.
 		Change   uint64
 		services map[resolver.ServiceName][]*Upstream
 		usable   map[UpstreamID]*Upstream
 	}
 
-	// Catalog collects reports and publishes snapshots. The zero value is an
-	// empty catalog.
+	// Catalog collects reports and publishes snapshots. The zero value is an empty
+	// catalog. It is safe for concurrent use.
 	Catalog struct {
 		lock      sync.Mutex
 		upstreams map[UpstreamID]*Upstream
-		// latestStart is the latest start that was reported of each upstream, also of some
-		// that are gone: an older report that arrives late is of a former life.
+		// latestStart is the latest reported start time of each upstream, including
+		// some that have been removed. A delayed report with an earlier start time
+		// belongs to a former incarnation.
 		latestStart map[UpstreamID]timekeeper.Millis
 		evacuated   map[string]bool
 		current     atomic.Pointer[Snapshot]
-		// openBatches is how many batches are open, and stale whether one of them
-		// changed anything.
+		// openBatches is the number of batches in progress. dirty reports whether one
+		// of them has changed anything.
 		openBatches int
 		dirty       bool
 	}
 )
 
-// maxRemovedStarts is how many upstreams that are gone may be remembered. Late reports come
-// within seconds, in which a fleet of hundreds replaces some tens.
+// maxRemovedStarts is the number of removed upstreams whose start time is kept. Delayed
+// reports arrive within seconds, in which a fleet of hundreds replaces some tens.
 const maxRemovedStarts = 1000
 
 var empty Snapshot
 
-// Hash identifies the incarnation.
+// Hash returns a hash that identifies the incarnation.
 func (u *Upstream) Hash() hasher.Hash {
 	return u.hash
 }
 
-// Incarnation tells this life of the upstream from others.
+// Incarnation returns the id and start time of u.
 func (u *Upstream) Incarnation() Incarnation {
 	return Incarnation{u.ID, u.Born}
 }
@@ -92,7 +94,7 @@
 	}
 }
 
-// Cold tells whether u is cold at a reading of the clock.
+// Cold reports whether u is cold at a time on the monotonic clock.
 func (u *Upstream) Cold(now timekeeper.Millis) bool {
 	return now < u.ColdUntil
 }
@@ -105,13 +107,14 @@
 	return &empty
 }
 
-// Of returns the upstreams of a service that take new work. The slice must not
-// be changed.
+// Of returns the upstreams of a service that accept new requests. The caller must not
+// modify the slice.
 func (s *Snapshot) Of(name resolver.ServiceName) []*Upstream {
 	return s.services[name]
 }
 
-// Usable returns the upstream if this life of it takes new work, nil if not.
+// Usable returns the upstream if this incarnation of it accepts new requests, and nil
+// otherwise.
 func (s *Snapshot) Usable(i Incarnation) *Upstream {
 	if u := s.usable[i.ID]; u != nil && u.Born == i.Born {
 		return u
@@ -119,8 +122,9 @@
 	return nil
 }
 
-// Batch makes f's changes appear in one snapshot. Building one takes time in
-// proportion to all upstreams, and changes come by the hundred.
+// Batch publishes all changes that f makes in a single snapshot. Building a snapshot
+// takes time proportional to the number of upstreams, and changes arrive by the
+// hundred.
 func (c *Catalog) Batch(f func()) {
 	c.lock.Lock()
 	c.openBatches++
@@ -134,8 +138,8 @@
 	}
 }
 
-// Put records what was reported of one upstream, and reports false if that was of a
-// former life.
+// Put records the reported state of an upstream. It ignores the report and returns
+// false if a later incarnation is known.
 func (c *Catalog) Put(u Upstream) (current bool) {
 	c.update(func() {
 		if current = c.recordStart(u); current {
@@ -146,8 +150,8 @@
 	return current
 }
 
-// recordStart notes a life, and reports false if a later one is known. The caller holds the
-// lock.
+// recordStart records the start time of an upstream and reports whether no later one is
+// known. The caller must hold c.lock.
 func (c *Catalog) recordStart(u Upstream) bool {
 	if u.Born < c.latestStart[u.ID] {
 		return false
@@ -158,7 +162,8 @@
 	return true
 }
 
-// forgetStarts drops the lives of upstreams that are gone once there are many.
+// forgetStarts drops the start times of removed upstreams once there are more than
+// maxRemovedStarts.
 func (c *Catalog) forgetStarts() {
 	if len(c.latestStart) <= len(c.upstreams)+maxRemovedStarts {
 		return
@@ -168,15 +173,15 @@
 	})
 }
 
-// Remove forgets an upstream that is gone.
+// Remove removes an upstream.
 func (c *Catalog) Remove(id UpstreamID) {
 	c.update(func() {
 		delete(c.upstreams, id)
 	})
 }
 
-// Replace makes all known upstreams be those of a complete list. One that is listed with
-// a former life stays as it is known.
+// Replace replaces all upstreams with those of a complete list. If the list holds a
+// former incarnation of a known upstream, the known one is kept.
 func (c *Catalog) Replace(all []Upstream) {
 	c.update(func() {
 		before := c.upstreams
@@ -192,15 +197,16 @@
 	})
 }
 
-// Evacuate says that a failure domain is to get nothing more.
+// Evacuate excludes the upstreams of a failure domain from new snapshots.
 func (c *Catalog) Evacuate(domain string) {
 	c.update(func() {
 		c.evacuated[domain] = true
 	})
 }
 
-// Readmit takes an evacuation back. Until coldUntil the upstreams of the domain
-// count as cold, since their caches may have been lost meanwhile.
+// Readmit ends an evacuation. The upstreams of the domain count as cold until the time
+// that coldUntil returns for their service, because they may have lost their caches in
+// the meantime.
 func (c *Catalog) Readmit(domain string, coldUntil func(resolver.ServiceName) timekeeper.Millis) {
 	c.update(func() {
 		if !c.evacuated[domain] {
@@ -229,7 +235,7 @@
 	return names
 }
 
-// All returns what was last reported of every upstream.
+// All returns the last reported state of every upstream.
 func (c *Catalog) All() []Upstream {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -240,7 +246,7 @@
 	return all
 }
 
-// Known returns what was last reported of an upstream.
+// Known returns the last reported state of an upstream, and whether there is one.
 func (c *Catalog) Known(id UpstreamID) (Upstream, bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/version/cataloger/catalog_test.go
+++ b/internal/version/cataloger/catalog_test.go
@@ -30,7 +30,7 @@
 	before := c.Current()
 	c.Evacuate("a")
 	is.Equal(len(c.Current().Of("s")), 0)
-	is.Equal(len(before.Of("s")), 2) // a snapshot never changes
+	is.Equal(len(before.Of("s")), 2) // snapshots are immutable
 	c.Readmit("a", func(resolver.ServiceName) timekeeper.Millis { return 500 })
 	is.Equal(len(c.Current().Of("s")), 2)
 	is.True(c.Current().Of("s")[0].Cold(499))
@@ -57,14 +57,16 @@
 	is.Equal(len(c.Current().Of("s")), 98)
 }
 
-// incarnation is an upstream that started at a time, at an address that tells lives apart.
+// incarnation returns an upstream with the given start time; the address distinguishes
+// incarnations.
 func incarnation(born timekeeper.Millis, address string) cataloger.Upstream {
 	u := upstream(1)
 	u.Born, u.Address = born, address
 	return u
 }
 
-// TestFormerLifeStaysGone reports lives of one upstream out of order, changed and listed.
+// TestFormerLifeStaysGone reports incarnations of one upstream out of order, in single
+// reports and in lists. A former incarnation must never replace a later one.
 func TestFormerLifeStaysGone(t *testing.T) {
 	is := is.New(t)
 	var c cataloger.Catalog
@@ -72,18 +74,18 @@
 	is.True(c.Put(first))
 	old := c.Current().Of("s")[0]
 	is.True(c.Put(second))
-	is.True(c.Current().Of("s")[0].Hash() != old.Hash()) // it remembers no key
+	is.True(c.Current().Of("s")[0].Hash() != old.Hash()) // a new incarnation remembers no keys
 	is.True(c.Current().Usable(old.Incarnation()) == nil)
-	is.True(!c.Put(first)) // a write that came late
+	is.True(!c.Put(first)) // delayed report
 	is.Equal(c.Current().Of("s")[0].Address, "a:2")
 	c.Replace([]cataloger.Upstream{first, upstream(2)})
 	is.Equal(len(c.Current().Of("s")), 2)
 	is.True(c.Current().Usable(second.Incarnation()) != nil)
-	is.True(!c.Put(incarnation(0, "a:0"))) // an entry without the start, though one had it
+	is.True(!c.Put(incarnation(0, "a:0"))) // no start time, although one was reported before
 	c.Remove("u1")
 	is.True(!c.Put(first))
 	is.Equal(len(c.Current().Of("s")), 1)
-	is.True(c.Put(second)) // its entry ran out and is back
+	is.True(c.Put(second)) // its entry expired and was renewed
 	is.Equal(len(c.Current().Of("s")), 2)
 }
 
@@ -99,6 +101,6 @@
 	}
 	u := upstream(10)
 	u.Born = 1
-	is.True(c.Put(u))                        // forgotten long ago
-	is.True(!c.Put(incarnation(100, "a:1"))) // still there
+	is.True(c.Put(u))                        // its start time was dropped
+	is.True(!c.Put(incarnation(100, "a:1"))) // its upstream is still present
 }
--- a/internal/version/cataloger/doc.go
+++ b/internal/version/cataloger/doc.go
@@ -1,4 +1,4 @@
-// Package cataloger keeps what is known of the upstreams: which incarnations
-// there are, where, how warm, which are leaving, and which failure domains are
-// evacuated. Readers see immutable snapshots; a change is in the next one.
+// Package cataloger holds the known upstreams: their incarnations, sites, warm-up state
+// and whether they are leaving, and the failure domains that are evacuated. Readers use
+// immutable snapshots; every change is published as a new snapshot.
 package cataloger
--- a/internal/version/loader/doc.go
+++ b/internal/version/loader/doc.go
@@ -1,9 +1,8 @@
-// Package loader reads what an entry serves from a file of the product's own format:
-// routes, limits on what callers may send, services, upstreams by incarnation, and
-// failure domains that are evacuated. It fills the model that matcher and cataloger
-// hold, as a source beside others.
+// Package loader loads the configuration of an entry from a file: routes, limits on
+// requests, services, upstreams, organisations and evacuated failure domains. It is one
+// of several sources of the data that matcher and cataloger hold.
 //
-// A file is TOML of nested tables, named in Pascal case:
+// A file is TOML with nested tables whose names are in Pascal case:
 //
 //	Version = 3
 //	Evacuated = ["erie-a"]
--- a/internal/version/loader/field.go
+++ b/internal/version/loader/field.go
@@ -16,7 +16,7 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// The lengths of the paths of settings: Limits.BodyBytes, Route.returns.Host and
+// Lengths of setting paths, such as Version, Limits.BodyBytes, Route.returns.Host and
 // Route.returns.Weights.keg-ledger.
 const (
 	depthFile   = 1
@@ -28,13 +28,13 @@
 const (
 	unknownSetting = "unknown setting"
 
-	// maxDuration is the longest time that a file may name.
+	// maxDuration is the longest time that a file may set.
 	maxDuration = timekeeper.Hour
 )
 
 var kinds = map[string]matcher.Kind{"once": matcher.Once, "idempotent": matcher.Idempotent, "download": matcher.Download}
 
-// setField takes one setting over, and says what is wrong with it.
+// setField stores one setting. It returns the problem with it, or "".
 func (b *builder) setField(e parser.Entry) string {
 	n := len(e.Path)
 	last := e.Path[n-1]
@@ -129,7 +129,7 @@
 		return readText(&u.Service, e)
 	case "Address":
 		if _, err := netip.ParseAddrPort(e.Text); err != nil {
-			return "is no IP number and port"
+			return "is not an IP number with a port"
 		}
 		return readText(&u.Address, e)
 	case "Site":
@@ -157,7 +157,7 @@
 	case "Kind":
 		k, ok := kinds[e.Text]
 		r.Kind = k
-		return problemUnless(ok, "is none of once, idempotent, download")
+		return problemUnless(ok, "is not one of once, idempotent, download")
 	case "Rank":
 		return readCount(&r.Rank, e)
 	case "ObjectiveMillis":
@@ -192,15 +192,16 @@
 	return unknownSetting
 }
 
-// readDigests reads digests of API keys. What is none is not repeated: it may be a key.
+// readDigests reads digests of API keys. Problems omit the text, because it may be a
+// key.
 func readDigests(x *[]authenticator.Digest, e parser.Entry) string {
 	if e.Kind != parser.KindList {
-		return "is no list of digests of keys"
+		return "is not a list of key digests"
 	}
 	for i, t := range e.List {
 		d, err := authenticator.ParseDigest(t)
 		if err != nil {
-			return fmt.Sprintf("entry %d is no digest of a key, which \"gullvale key\" prints", i+1)
+			return fmt.Sprintf("entry %d is not a key digest as printed by \"gullvale key\"", i+1)
 		}
 		*x = append(*x, d)
 	}
@@ -228,7 +229,7 @@
 
 func readList(x *[]string, e parser.Entry) string {
 	*x = e.List
-	return problemUnless(e.Kind == parser.KindList, "is no list of texts")
+	return problemUnless(e.Kind == parser.KindList, "is not a list of strings")
 }
 
 func readBool(x *bool, e parser.Entry) string {
@@ -239,26 +240,26 @@
 func readCount[T ~int | ~int64 | ~uint64](x *T, e parser.Entry) string {
 	n, err := strconv.ParseInt(e.Text, 10, 64)
 	*x = T(n)
-	return problemUnless(e.Kind == parser.KindNumber && err == nil && n >= 0, "is no whole number from 0 on")
+	return problemUnless(e.Kind == parser.KindNumber && err == nil && n >= 0, "is not a whole number of 0 or more")
 }
 
 func readNumber(x *float64, e parser.Entry) string {
 	n, err := strconv.ParseFloat(e.Text, 64)
 	*x = n
-	return problemUnless(e.Kind == parser.KindNumber && err == nil && n >= 0 && !math.IsInf(n, 0), "is no number from 0 on")
+	return problemUnless(e.Kind == parser.KindNumber && err == nil && n >= 0 && !math.IsInf(n, 0), "is not a number of 0 or more")
 }
 
 func readMillis(x *timekeeper.Millis, e parser.Entry) string {
 	problem := readCount(x, e)
 	if problem == "" && *x > maxDuration {
-		return "is longer than an hour, in milliseconds"
+		return "is longer than an hour; the unit is milliseconds"
 	}
 	return problem
 }
 
-// readSite reads "region/domain".
+// readSite reads a site of the form "region/domain".
 func readSite(x *registrar.Site, e parser.Entry) string {
 	region, domain, ok := strings.Cut(e.Text, "/")
 	*x = registrar.Site(e.Text)
-	return problemUnless(ok && region != "" && domain != "", "is no region/domain")
+	return problemUnless(ok && region != "" && domain != "", "is not of the form region/domain")
 }
--- a/internal/version/loader/load.go
+++ b/internal/version/loader/load.go
@@ -16,17 +16,17 @@
 )
 
 type (
-	// Table is what one file says.
+	// Table is the content of one file.
 	Table struct {
 		Config *matcher.Config
-		// Upstreams are those of all services. ColdUntil is how long from now an
-		// upstream is cold.
+		// Upstreams are the upstreams of all services. Their ColdUntil is relative to
+		// the time at which the table is loaded into a catalog.
 		Upstreams []cataloger.Upstream
-		// Evacuated are the failure domains that get no new work.
+		// Evacuated are the failure domains that receive no new requests.
 		Evacuated []string
 	}
 
-	// builder collects a table while its file is read.
+	// builder collects the settings of a file and builds a table of them.
 	builder struct {
 		file      string
 		version   matcher.Version
@@ -35,19 +35,20 @@
 		services  map[string]*matcher.Service
 		upstreams map[string]*upstream
 		evacuated []string
-		// organisations are those that may send requests; none means that anybody may.
+		// organisations are those that may send requests; none means that requests need
+		// no credential.
 		organisations map[string]*authenticator.Organisation
 		problems      parser.Problems
 	}
 
-	// upstream is an upstream and where the file begins to tell of it.
+	// upstream is an upstream and the position of its first setting.
 	upstream struct {
 		cataloger.Upstream
 		position parser.Position
 	}
 )
 
-// ReadFile reads a file.
+// ReadFile reads and parses a file.
 func ReadFile(name string) (*Table, parser.Problems) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -56,7 +57,8 @@
 	return Read(name, data)
 }
 
-// Read reads data, which came from file. It reports all that is wrong at once.
+// Read parses data, which was read from file. It returns either a table or all problems
+// found.
 func Read(file string, data []byte) (*Table, parser.Problems) {
 	entries, problems := parser.Parse(file, data)
 	b := builder{
@@ -78,24 +80,24 @@
 	return t, nil
 }
 
-// addEntry takes one setting over.
+// addEntry stores one setting or reports its problem.
 func (b *builder) addEntry(e parser.Entry) {
 	if problem := b.setField(e); problem != "" {
 		b.problems = append(b.problems, parser.Problem{Position: e.Position, Path: e.Name(), Text: problem})
 	}
 }
 
-// buildTable joins what was read and checks it as a whole.
+// buildTable combines the settings into a table and validates it as a whole.
 func (b *builder) buildTable() *Table {
 	if b.version == 0 {
-		b.report(parser.Position{File: b.file}, "Version", "missing: a table needs a number that grows with each change")
+		b.report(parser.Position{File: b.file}, "Version", "missing: a file needs a version number that increases with each change")
 	}
 	var routes []matcher.Route
 	for _, n := range slices.Sorted(maps.Keys(b.routes)) {
 		routes = append(routes, *b.routes[n])
 	}
 	for _, u := range b.upstreams {
-		// A service that has upstreams needs no settings of its own.
+		// A service with upstreams needs no settings of its own.
 		b.service(string(u.Service))
 	}
 	var services []matcher.Service
@@ -110,7 +112,8 @@
 	return &Table{Config: c, Upstreams: b.checkedUpstreams(), Evacuated: b.evacuated}
 }
 
-// setOrganisations has the configuration ask whose a request is if there are organisations.
+// setOrganisations makes the configuration require credentials if there are any
+// organisations.
 func (b *builder) setOrganisations(c *matcher.Config) {
 	if len(b.organisations) == 0 {
 		return
@@ -126,7 +129,7 @@
 	c.Admit(d)
 }
 
-// routedServices returns the services to which routes go.
+// routedServices returns the services to which routes refer.
 func (b *builder) routedServices() map[resolver.ServiceName]bool {
 	out := map[resolver.ServiceName]bool{}
 	for _, r := range b.routes {
@@ -137,8 +140,8 @@
 	return out
 }
 
-// checkedUpstreams returns the upstreams, by id, and complains about those that are not whole
-// or get no requests.
+// checkedUpstreams returns the upstreams sorted by id. It reports those that are
+// incomplete or whose service has no route.
 func (b *builder) checkedUpstreams() []cataloger.Upstream {
 	var out []cataloger.Upstream
 	routedServices := b.routedServices()
@@ -146,7 +149,7 @@
 		u := b.upstreams[n]
 		switch {
 		case !routedServices[u.Service]:
-			b.report(u.position, "Upstream."+n, "no route goes to its service "+cmp.Or(string(u.Service), `""`))
+			b.report(u.position, "Upstream."+n, "no route refers to its service "+cmp.Or(string(u.Service), `""`))
 		case u.Address == "" || u.Site == "" || u.Slots == 0:
 			b.report(u.position, "Upstream."+n, "needs Address, Site and Slots")
 		}
@@ -159,7 +162,7 @@
 	b.problems = append(b.problems, parser.Problem{Position: at, Path: path, Text: text})
 }
 
-// splitJoined returns the errors that were joined into one.
+// splitJoined returns the errors that errors.Join combined into err.
 func splitJoined(err error) []error {
 	if err == nil {
 		return nil
@@ -171,9 +174,9 @@
 	return []error{err}
 }
 
-// Fill puts the upstreams and evacuations of the table into a catalog, in place of
-// what is there, at a time of the monotonic clock. A domain that was evacuated until
-// now is cold for as long as its services take to warm up.
+// Fill replaces the upstreams and evacuations of a catalog with those of the table, at
+// time now on the monotonic clock. A domain whose evacuation ends is cold for the
+// warm-up time of its services.
 func (t *Table) Fill(c *cataloger.Catalog, now timekeeper.Millis) {
 	c.Batch(func() {
 		c.Replace(t.upstreamsAt(c, now))
@@ -188,8 +191,8 @@
 	})
 }
 
-// upstreamsAt returns the upstreams with times by the clock. One that is known already stays
-// cold as long as it was to be.
+// upstreamsAt returns the upstreams with ColdUntil as a time on the monotonic clock. An
+// upstream that the catalog knows keeps its ColdUntil.
 func (t *Table) upstreamsAt(c *cataloger.Catalog, now timekeeper.Millis) []cataloger.Upstream {
 	var out []cataloger.Upstream
 	for _, u := range t.Upstreams {
--- a/internal/version/loader/load_test.go
+++ b/internal/version/loader/load_test.go
@@ -90,22 +90,23 @@
 	is.Equal(x.Upstreams[0].Release, "v1")
 }
 
-// TestProblemsAllAtOnce has a fault of each kind in one file.
+// TestProblemsAllAtOnce puts one error of each kind into a file beside another that is
+// always present. Both must be reported.
 func TestProblemsAllAtOnce(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
-		{"Version = 3", "Version = -3", "t.toml:1: Version: is no whole number"},
+		{"Version = 3", "Version = -3", "t.toml:1: Version: is not a whole number"},
 		{"Version = 3", "", "Version: missing"},
-		{`Kind = "once"`, `Kind = "twice"`, "t.toml:18: Route.returns.Kind: is none of once"},
+		{`Kind = "once"`, `Kind = "twice"`, "t.toml:18: Route.returns.Kind: is not one of once"},
 		{"TimeoutMillis = 1500", "TimeoutMillis = 9000000", "Route.returns.TimeoutMillis: is longer than an hour"},
-		{"WarmupPerSecond = 2.5", "WarmupPerSecond = inf", "Service.ledger.WarmupPerSecond: is no number"},
+		{"WarmupPerSecond = 2.5", "WarmupPerSecond = inf", "Service.ledger.WarmupPerSecond: is not a number"},
 		{`Prefix = "/returns/"`, `Prefix = "returns"`, "route returns: prefix"},
 		{"next = 1", "other = 1", `route returns: unknown service "other"`},
-		{`Address = "10.0.0.1:80"`, `Address = "u1.example"`, "Upstream.u1.Address: is no IP number and port"},
-		{`Site = "erie/erie-a"`, `Site = "erie"`, "Upstream.u1.Site: is no region/domain"},
+		{`Address = "10.0.0.1:80"`, `Address = "u1.example"`, "Upstream.u1.Address: is not an IP number with a port"},
+		{`Site = "erie/erie-a"`, `Site = "erie"`, "Upstream.u1.Site: is not of the form region/domain"},
 		{"Slots = 6\nColdMillis", "Sluts = 6\nColdMillis", "Upstream.u2.Sluts: unknown setting"},
 		{"Slots = 6\nColdMillis", "ColdMillis", "Upstream.u2: needs Address, Site and Slots"},
 		{"Sticky = true", "Sticky = 1", "Route.returns.Sticky: is neither true nor false"},
-		{`Regions = ["erie"]`, `Regions = "erie"`, "Route.returns.Regions: is no list of texts"},
+		{`Regions = ["erie"]`, `Regions = "erie"`, "Route.returns.Regions: is not a list of strings"},
 		{"[Limits]", "[Bounds]", "Bounds.HeaderBytes: unknown setting"},
 	} {
 		t.Run(c.to, func(t *testing.T) {
@@ -115,13 +116,13 @@
 			x, problems := loader.Read("t.toml", []byte(text))
 			is.Equal(x, nil)
 			is.True(strings.Contains(problems.Error(), c.want))
-			is.True(strings.Contains(problems.Error(), "Upstream.u3: no route goes to its service nobody"))
+			is.True(strings.Contains(problems.Error(), "Upstream.u3: no route refers to its service nobody"))
 		})
 	}
 }
 
-// TestFill puts one table after another into a catalog: evacuated upstreams take
-// nothing, and those taken back are cold for as long as the service takes to warm up.
+// TestFill loads several tables into one catalog. Evacuated upstreams receive no
+// requests, and readmitted ones are cold for the warm-up time of their service.
 func TestFill(t *testing.T) {
 	is := is.New(t)
 	var c cataloger.Catalog
@@ -147,7 +148,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		x, problems := loader.Read("t.toml", data)
 		if (x == nil) != (len(problems) > 0) {
-			t.Fatal("neither a table nor a problem")
+			t.Fatal("want either a table or problems")
 		}
 	})
 }
--- a/internal/version/loader/organisations_test.go
+++ b/internal/version/loader/organisations_test.go
@@ -44,17 +44,17 @@
 	is.True(!x.Config.Organisations.Required())
 }
 
-// TestOrganisationProblems has a fault of each kind, and one that is always there: all are
-// told, with their places, and no key is repeated that stands where a digest belongs.
+// TestOrganisationProblems puts one error of each kind into a file. It must be
+// reported, and no report may repeat a key that was entered in place of a digest.
 func TestOrganisationProblems(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
-		{`"DIGEST"`, `"a-key-by-mistake"`, "Organisation.brewery.Keys: entry 1 is no digest of a key"},
-		{`Keys = ["DIGEST"]`, `Keys = "DIGEST"`, "Organisation.brewery.Keys: is no list"},
-		{"PerSecond = 12.5", "PerSecond = -1", "Organisation.brewery.PerSecond: is no number"},
+		{`"DIGEST"`, `"a-key-by-mistake"`, "Organisation.brewery.Keys: entry 1 is not a key digest"},
+		{`Keys = ["DIGEST"]`, `Keys = "DIGEST"`, "Organisation.brewery.Keys: is not a list"},
+		{"PerSecond = 12.5", "PerSecond = -1", "Organisation.brewery.PerSecond: is not a number"},
 		{"Burst = 30", "Burst = many", "t.toml"},
-		{"Rank = 1\nPer", "Rank = 0.5\nPer", "Organisation.brewery.Rank: is no whole number"},
+		{"Rank = 1\nPer", "Rank = 0.5\nPer", "Organisation.brewery.Rank: is not a whole number"},
 		{"Burst = 30", "Brst = 30", "Organisation.brewery.Brst: unknown setting"},
-		{"[Organisation.tap]", "[Organisation.tap]\nKeys = [\"DIGEST2\"]", "has a key that another one has too"},
+		{"[Organisation.tap]", "[Organisation.tap]\nKeys = [\"DIGEST2\"]", "shares a key with another organisation"},
 	} {
 		t.Run(c.to, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/version/matcher/config.go
+++ b/internal/version/matcher/config.go
@@ -14,72 +14,76 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// The kinds of request. The zero value allows least.
+// Kinds of requests. The zero value is the most restrictive.
 const (
-	// Once is a request that must not run twice.
+	// Once is a request that must not run more than once.
 	Once Kind = iota
-	// Idempotent is a request that may run again.
+	// Idempotent is a request that may be retried.
 	Idempotent
-	// Download is an idempotent request with a large answer.
+	// Download is an idempotent request with a large response.
 	Download
 )
 
 type (
-	// Kind says what may be repeated.
+	// Kind determines whether a request may be retried.
 	Kind uint8
 
-	// Version numbers configurations. It only grows.
+	// Version is the sequence number of a configuration. It only increases.
 	Version uint64
 
-	// Rank orders kinds of request: 0 is the most urgent.
+	// Rank is the priority of a route; 0 is the most urgent.
 	Rank int
 
-	// Part is one service of a route and its share of the requests.
+	// Part is one service of a route and its relative share of the requests.
 	Part struct {
 		Service resolver.ServiceName
 		Weight  int
 	}
 
-	// Route says how requests of one host under one prefix are handled.
+	// Route defines how requests to one host under one path prefix are handled.
 	Route struct {
 		Name string
 		Host string
-		// Prefix begins the path, and begins and ends with a slash.
+		// Prefix is the path prefix. It begins and ends with a slash.
 		Prefix string
 		Kind   Kind
 		Rank   Rank
-		// Objective is the time within which an answer is of full use.
+		// Objective is the target response time; a later response is of less use to the
+		// caller.
 		Objective timekeeper.Millis
-		// Timeout is the longest time that a request is kept waiting; 0 means
-		// no limit but the caller's.
+		// Timeout is the longest time that a request waits; 0 means that only the
+		// caller limits it.
 		Timeout timekeeper.Millis
-		// Attempts is the most upstreams that one request may be sent to.
+		// Attempts is the maximum number of upstreams to which one request is sent.
 		Attempts int
 		Parts    []Part
-		// Regions are where the requests may run; none means anywhere.
+		// Regions are the regions in which the requests may run; none means all.
 		Regions []string
-		// Sticky tells that an upstream works faster on a key it ran lately.
+		// Sticky reports that an upstream handles a key faster if it has handled it
+		// recently.
 		Sticky bool
-		// Public tells that requests need not say whose they are.
+		// Public reports that requests need no credential.
 		Public bool
 
 		totalWeight int
 		hash        hasher.Hash
 	}
 
-	// Service is what the configuration says of the upstreams of one service.
+	// Service holds the settings of the upstreams of one service.
 	Service struct {
 		Name       resolver.ServiceName
 		HealthPath string
-		// MaxConnections is what one upstream takes from all daemons together.
+		// MaxConnections is the number of connections that one upstream accepts from
+		// all daemons together.
 		MaxConnections int
 		// Warmup is how long an upstream stays cold after its start, and
-		// WarmupPerSecond the rate of requests that it bears meanwhile.
+		// WarmupPerSecond the number of requests per second that it can handle during
+		// that time.
 		Warmup          timekeeper.Millis
 		WarmupPerSecond float64
 	}
 
-	// Limits bound what a caller may send.
+	// Limits bound the sizes and times of requests from callers.
 	Limits struct {
 		HeaderBytes   int64
 		BodyBytes     int64
@@ -92,19 +96,20 @@
 		Version  Version
 		Limits   Limits
 		Services map[resolver.ServiceName]Service
-		// Organisations are those that may send requests; nil means that anybody may.
+		// Organisations are those that may send requests; nil means that requests need
+		// no credential.
 		Organisations *authenticator.Directory
 
 		hosts map[string][]*Route
-		// mostUrgent is the most urgent rank of each service.
+		// mostUrgent is the most urgent rank of the routes to each service.
 		mostUrgent map[resolver.ServiceName]Rank
-		// mostUrgentOrganisation is the most urgent rank of an organisation.
+		// mostUrgentOrganisation is the most urgent rank of any organisation.
 		mostUrgentOrganisation authenticator.Rank
 	}
 )
 
-// New checks routes and services and returns them as one configuration. It
-// reports all that is wrong at once.
+// New validates routes and services and returns them as a configuration. The error
+// joins all problems found.
 func New(v Version, l Limits, routes []Route, services []Service) (*Config, error) {
 	c := &Config{
 		Version:    v,
@@ -129,8 +134,8 @@
 	return c, errors.Join(problems...)
 }
 
-// Match returns the route of a request, nil for none. The path is that of the
-// request line, as it was sent.
+// Match returns the route of a request, or nil if there is none. The path is that of
+// the request line, not decoded.
 func (c *Config) Match(host, path string) *Route {
 	for _, r := range c.hosts[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -140,17 +145,18 @@
 	return nil
 }
 
-// Urgent returns the most urgent rank of the requests to a service.
+// Urgent returns the most urgent rank of the routes to a service.
 func (c *Config) Urgent(s resolver.ServiceName) Rank {
 	return c.mostUrgent[s]
 }
 
-// Leading returns the most urgent rank of an organisation.
+// Leading returns the most urgent rank of any organisation.
 func (c *Config) Leading() authenticator.Rank {
 	return c.mostUrgentOrganisation
 }
 
-// Admit makes the configuration one in which requests must say whose they are.
+// Admit sets the organisations of the configuration. If d is not nil, requests must
+// carry the credential of one of them.
 func (c *Config) Admit(d *authenticator.Directory) {
 	c.Organisations = d
 	for i, o := range d.All() {
@@ -169,12 +175,12 @@
 	return n
 }
 
-// Repeatable tells whether a request may run again.
+// Repeatable reports whether a request may be retried.
 func (k Kind) Repeatable() bool {
 	return k == Idempotent || k == Download
 }
 
-// String names the kind as in logs and metrics.
+// String returns the name of the kind in logs and metrics.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -185,8 +191,8 @@
 	return "once"
 }
 
-// Service picks the service of a request by the weights of the parts: the same
-// key always goes to the same part, so that one service remembers it.
+// Service selects the service of a request by the weights of the parts. The same key
+// always selects the same service, so that only one service has to remember it.
 func (r *Route) Service(key hasher.Hash) resolver.ServiceName {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
@@ -201,12 +207,12 @@
 	return r.Parts[0].Service
 }
 
-// Hash identifies the route by name.
+// Hash returns a hash of the route's name.
 func (r *Route) Hash() hasher.Hash {
 	return r.hash
 }
 
-// Allows tells whether requests of the route may run in a region.
+// Allows reports whether requests of the route may run in a region.
 func (r *Route) Allows(region string) bool {
 	return len(r.Regions) == 0 || slices.Contains(r.Regions, region)
 }
@@ -229,21 +235,21 @@
 }
 
 func (c *Config) checkRoute(r *Route) (problems []error) {
-	bad := func(format string, args ...any) {
+	report := func(format string, args ...any) {
 		problems = append(problems, eris.Errorf("route "+r.Name+": "+format, args...))
 	}
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		bad("prefix %q does not begin and end with a slash", r.Prefix)
+		report("prefix %q does not begin and end with a slash", r.Prefix)
 	}
 	if len(r.Parts) == 0 {
-		bad("no service")
+		report("no service")
 	}
 	for _, p := range r.Parts {
 		if _, ok := c.Services[p.Service]; !ok {
-			bad("unknown service %q", p.Service)
+			report("unknown service %q", p.Service)
 		}
 		if p.Weight < 0 {
-			bad("service %q has weight %d", p.Service, p.Weight)
+			report("service %q has weight %d", p.Service, p.Weight)
 		}
 	}
 	return problems
@@ -253,7 +259,7 @@
 	return cmp.Compare(len(b.Prefix), len(a.Prefix))
 }
 
-// hostName strips a port and folds the case.
+// hostName returns a Host header value in lower case and without its port.
 func hostName(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/internal/version/parser/doc.go
+++ b/internal/version/parser/doc.go
@@ -1,3 +1,3 @@
-// Package parser reads TOML into a flat list of settings, each with the file
-// and line it stands on, so that every later check can say where the fault is.
+// Package parser parses TOML into a flat list of settings, each with its file and line,
+// so that later checks can report where a problem is.
 package parser
--- a/internal/version/parser/parse.go
+++ b/internal/version/parser/parse.go
@@ -9,7 +9,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// The kinds of values that settings have.
+// Kinds of setting values.
 const (
 	KindText Kind = iota
 	KindNumber
@@ -21,8 +21,8 @@
 	// Kind is the TOML kind of a value.
 	Kind uint8
 
-	// Position is a place in a file. Line counts from 1; 0 means the value
-	// came from elsewhere, such as a command line.
+	// Position is a position in a file. Line counts from 1; 0 means that the value
+	// comes from elsewhere, such as the command line.
 	Position struct {
 		File string
 		Line int
@@ -30,29 +30,29 @@
 
 	// Entry is one setting.
 	Entry struct {
-		// Path is the dotted key, tables included.
+		// Path is the dotted key, including tables.
 		Path []string
 		Kind Kind
-		// Text is the value of anything but a list.
+		// Text is the value, unless it is a list.
 		Text string
 		// List holds the elements of a list.
 		List []string
 		Position
 	}
 
-	// Problem is one fault found in settings.
+	// Problem is one error found in settings.
 	Problem struct {
 		Position
-		// Path names the setting at fault.
+		// Path names the setting that is wrong.
 		Path string
 		Text string
 	}
 
-	// Problems is every fault found. As an error it prints one a line.
+	// Problems is a list of problems. As an error it prints one per line.
 	Problems []Problem
 )
 
-// String prints the position as "file:line".
+// String returns the position as "file:line".
 func (p Position) String() string {
 	if p.Line == 0 {
 		return p.File
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%s:%d", p.File, p.Line)
 }
 
-// Error prints the problem with its position and path.
+// Error returns the problem with its position and path.
 func (p Problem) Error() string {
 	var parts []string
 	if at := p.Position.String(); at != "" {
@@ -72,7 +72,7 @@
 	return strings.Join(append(parts, p.Text), ": ")
 }
 
-// Error lists the problems, one a line.
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, q := range p {
@@ -81,7 +81,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// OrNil returns p as an error, or nil when it is empty.
+// OrNil returns p as an error, or nil if it is empty.
 func (p Problems) OrNil() error {
 	if len(p) == 0 {
 		return nil
@@ -89,15 +89,15 @@
 	return p
 }
 
-// Name returns the path as one dotted word.
+// Name returns the path joined by dots.
 func (e Entry) Name() string {
 	return strings.Join(e.Path, ".")
 }
 
-// Parse reads data, which came from file.
+// Parse parses data, which was read from file, into settings.
 func Parse(file string, data []byte) ([]Entry, Problems) {
-	var whole map[string]any
-	if err := toml.Unmarshal(data, &whole); err != nil {
+	var document map[string]any
+	if err := toml.Unmarshal(data, &document); err != nil {
 		return nil, Problems{syntaxProblem(file, err)}
 	}
 	w := walker{file: file}
@@ -121,7 +121,7 @@
 	}
 }
 
-// walker turns expressions into entries. The syntax is known to be right.
+// walker converts TOML expressions to entries. The syntax has already been validated.
 type walker struct {
 	file     string
 	parser   unstable.Parser
@@ -137,7 +137,7 @@
 	case unstable.ArrayTable:
 		path, at := w.key(n)
 		w.table = path
-		w.report(at, path, "lists of tables are not used here")
+		w.report(at, path, "arrays of tables are not supported")
 	case unstable.KeyValue:
 		w.addKeyValue(w.table, n)
 	}
@@ -183,7 +183,7 @@
 			continue
 		}
 		if c.Kind != unstable.String {
-			w.report(at, path, "a list holds strings only")
+			w.report(at, path, "list elements must be strings")
 			return
 		}
 		e.List = append(e.List, string(c.Data))
--- a/internal/version/replicator/doc.go
+++ b/internal/version/replicator/doc.go
@@ -1,5 +1,5 @@
-// Package replicator keeps a daemon's copy of the objects that steer the fleet:
-// changes of settings, the plan, the rosters. The lead of a region fills its
-// copy from one watch and passes it on; members fill theirs from the lead. A
-// revision once seen is never replaced by an older one.
+// Package replicator keeps a daemon's copy of the objects that control the fleet:
+// changes of settings, the plan and the rosters. The leader of a region fills its copy
+// from a single watch and passes changes on; members fill theirs from the leader. An
+// object is never replaced by an older revision.
 package replicator
--- a/internal/version/replicator/replica.go
+++ b/internal/version/replicator/replica.go
@@ -8,11 +8,12 @@
 	"github.com/gullvale/gullvale/pkg/storer"
 )
 
-// Replica is a copy of the objects under some prefixes. The zero value is
-// empty. It is safe for concurrent use.
+// Replica is a copy of the objects under some prefixes. The zero value is empty. It is
+// safe for concurrent use.
 type Replica struct {
-	// Changed is told, in order, of the objects that are new. It runs under no
-	// lock but for its own order. Nil means nobody wants to know.
+	// Changed is called with the objects that are new in each batch, in the order of
+	// the batches. Calls are serialized. The copy may be read during a call, but Put
+	// must not be called. Nil means no callback.
 	Changed func([]storer.Object)
 
 	callbackOrder sync.Mutex
@@ -22,8 +23,8 @@
 	revision storer.Revision
 }
 
-// Put adds a batch: all changes up to its revision. It returns the objects that
-// are new here.
+// Put merges a batch, which holds all changes up to its revision. It returns the
+// objects that are new or newer than the stored ones, sorted by revision.
 func (r *Replica) Put(b storer.Batch) []storer.Object {
 	r.callbackOrder.Lock()
 	defer r.callbackOrder.Unlock()
@@ -52,14 +53,14 @@
 	return fresh
 }
 
-// Revision is up to where the copy is complete.
+// Revision returns the revision up to which the copy is complete.
 func (r *Replica) Revision() storer.Revision {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.revision
 }
 
-// Since returns the objects behind a revision, in order of revision.
+// Since returns the objects with a later revision than since, sorted by revision.
 func (r *Replica) Since(since storer.Revision) storer.Batch {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -73,7 +74,7 @@
 	return b
 }
 
-// Get returns one object.
+// Get returns an object by name, and whether it is present.
 func (r *Replica) Get(name string) (storer.Object, bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -81,7 +82,7 @@
 	return o, ok
 }
 
-// Under returns the objects under a prefix, in order of name.
+// Under returns the objects whose names begin with prefix, sorted by name.
 func (r *Replica) Under(prefix string) []storer.Object {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -95,7 +96,7 @@
 	return out
 }
 
-// Forget drops objects for which old returns true.
+// Forget removes the objects for whose names old returns true.
 func (r *Replica) Forget(old func(name string) bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/version/resolver/path.go
+++ b/internal/version/resolver/path.go
@@ -22,8 +22,8 @@
 	}
 )
 
-// ParsePath reads "", "/", "region", "region/domain", and each of these with
-// ":service" behind it.
+// ParsePath parses "", "/", "region" and "region/domain", each optionally followed by
+// ":service".
 func ParsePath(s string) (Path, error) {
 	place, service, named := strings.Cut(s, ":")
 	place = strings.Trim(place, "/")
--- a/internal/version/resolver/resolved.go
+++ b/internal/version/resolver/resolved.go
@@ -46,7 +46,7 @@
 		From    string
 		To      string
 		Share   float64
-		// Cap is the part of the traffic that may move in a minute.
+		// Cap is the largest fraction of the traffic that may move per minute.
 		Cap float64
 	}
 
--- a/internal/version/resolver/toml.go
+++ b/internal/version/resolver/toml.go
@@ -15,7 +15,7 @@
 	tableService = "Service"
 )
 
-// ReadTOML reads a tree as the edits that build it.
+// ReadTOML parses a tree and returns the edits that build it.
 func ReadTOML(file string, data []byte) ([]Edit, parser.Problems) {
 	entries, problems := parser.Parse(file, data)
 	var edits []Edit
--- a/internal/version/resolver/tree.go
+++ b/internal/version/resolver/tree.go
@@ -40,8 +40,8 @@
 // FromDefault is the Source.From of a value that is not set anywhere.
 const FromDefault = "default"
 
-// Apply returns the tree after edits. Problems of single edits and of the
-// resulting tree are all reported.
+// Apply returns the tree that results from edits. It reports the problems of every edit
+// and of the resulting tree.
 func (t Tree) Apply(edits []Edit) (Tree, parser.Problems) {
 	out := Tree{nodes: map[Path]map[Key]Value{}}
 	for p, n := range t.nodes {
