--- a/internal/version/authenticator/directory_test.go
+++ b/internal/version/authenticator/directory_test.go
@@ -54,8 +54,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, flaw := authenticator.Credential(tt.values)
-			is.New(t).Equal(flaw, tt.want)
+			_, status := authenticator.Credential(tt.values)
+			is.New(t).Equal(status, tt.want)
 		})
 	}
 }
@@ -121,8 +121,8 @@
 func TestHolderAllocatesNothing(t *testing.T) {
 	d, values := many(t, 100), []string{"key-50-5"}
 	n := testing.AllocsPerRun(100, func() {
-		key, flaw := authenticator.Credential(values)
-		if flaw != authenticator.Sound || d.Holder(key) == nil {
+		key, status := authenticator.Credential(values)
+		if status != authenticator.Sound || d.Holder(key) == nil {
 			t.Error("not found")
 		}
 	})
--- a/internal/version/planner/mover.go
+++ b/internal/version/planner/mover.go
@@ -24,7 +24,8 @@
 	// can be measured before the next.
 	minStepInterval = timekeeper.Second
 
-	// minStep is the smallest step for which a new plan is issued.
+	// minStep is the smallest step for which a new plan is issued. A route that is
+	// closer to its target counts as converged.
 	minStep = sharer.Whole / 10000
 )
 
@@ -138,7 +139,7 @@
 }
 
 // accrueCredit adds the credit of every route and shift for the time since the last
-// step.
+// call, at most maxAccrual.
 func (m *Mover) accrueCredit(in Input) {
 	since := min(in.Now-m.lastAccrual, maxAccrual)
 	m.lastAccrual = in.Now
@@ -207,8 +208,8 @@
 	return to, ""
 }
 
-// overloadReason names a site that would exceed its limit if the route of k were
-// changed to to, with every other route counted at the larger of its last and next
+// overloadReason names a site that would exceed its limit if the route of k changed to
+// the given split, with every other route counted at the larger of its last and next
 // share. It is empty if there is none.
 func overloadReason(in Input, next *Plan, k routeKey, to sharer.Division) string {
 	current, _ := in.Last.Route(k.service, k.origin)
--- a/internal/version/planner/mover_test.go
+++ b/internal/version/planner/mover_test.go
@@ -95,10 +95,10 @@
 	w.step(true)
 	is.Equal(w.share(w.last, "p/a", "p/b"), 0.5)
 	w.set(resolver.Edit{Path: "p/b", Key: resolver.KeyDrain, Value: "true"})
-	began := w.now
+	start := w.now
 	for w.share(w.last, "p/a", "p/b") > 0 {
 		w.step(true)
-		is.True(w.now-began < 20*timekeeper.Second) // the drain completes
+		is.True(w.now-start < 20*timekeeper.Second) // the drain completes
 	}
 	is.Equal(w.share(w.last, "p/a", "p/a"), 1.0)
 }
@@ -117,7 +117,7 @@
 	is.True(strings.Contains(w.last.Holds[0].Reason, "no fresh measurement from q"))
 	w.load.Stale = nil
 	for range 20 {
-		w.step(false) // the last plan is not in force everywhere
+		w.step(false) // the last plan is not in force on all daemons
 	}
 	is.Equal(w.last.Number, number)
 }
--- a/internal/version/planner/shift.go
+++ b/internal/version/planner/shift.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// accrued returns credit increased at a rate per minute for the time in since, at most
-// to the amount that accrues in maxAccrual.
+// accrued returns credit plus perMinute for the time in since, limited to the amount
+// that accrues in maxAccrual.
 func accrued(credit, perMinute float64, since timekeeper.Millis) float64 {
 	minutes := float64(since) / float64(timekeeper.Minute)
 	most := perMinute * float64(maxAccrual) / float64(timekeeper.Minute)
--- a/internal/version/planner/target.go
+++ b/internal/version/planner/target.go
@@ -59,7 +59,7 @@
 // Split returns the target traffic split of one origin as far as it follows from the
 // settings alone: the sites of its own region in proportion to their capacity, or those
 // of all regions when its own has no capacity. A new deployment routes by it until the
-// first plan exists; that plan starts from the same split.
+// first plan exists; shifts start from that plan.
 func (t *Targets) Split(r *resolver.Resolved, service resolver.ServiceName, origin registrar.Site, wall timekeeper.Millis) sharer.Division {
 	if t.capacity == nil {
 		t.capacity = availableCapacity(r, service, wall)
@@ -73,7 +73,7 @@
 	return d
 }
 
-// target returns the target traffic split of every origin, with the shifts at the
+// targets returns the target traffic split of every origin, with the shifts at the
 // progress given in shifts. Load beyond the limit of a region spills over to regions
 // with spare capacity; without demand nothing spills over.
 func targets(r *resolver.Resolved, service resolver.ServiceName, d Demand, wall timekeeper.Millis, shifts []Progress, s spillover) map[registrar.Site]sharer.Division {
@@ -208,8 +208,8 @@
 	return out
 }
 
-// move moves a fraction of the weight of region from to the sites of to. If to is
-// empty, nothing moves.
+// move moves a fraction of the weight of one region to the sites in to. If to is empty,
+// nothing moves.
 func (w weights) move(from string, to weights, fraction float64) {
 	if len(to) == 0 {
 		return
--- a/internal/version/resolver/resolved.go
+++ b/internal/version/resolver/resolved.go
@@ -158,9 +158,9 @@
 	return s
 }
 
-// drained reports whether p or any level above it is drained, and until when. "Drain =
-// false" at a lower level does not override a drain above it: draining a region means
-// all of the region.
+// drained reports whether p or any level above it is drained, and until when; 0 means
+// without end. "Drain = false" at a lower level does not override a drain above it:
+// draining a region means all of the region.
 func (t Tree) drained(p Path) (bool, timekeeper.Millis) {
 	var drained bool
 	var until timekeeper.Millis
--- a/internal/version/steerer/lookup_test.go
+++ b/internal/version/steerer/lookup_test.go
@@ -82,12 +82,12 @@
 	firsts := map[string]bool{}
 	for i := range 1000 {
 		b := s.Find(blockAddress(i))
-		var answer steerer.Answer
-		is.NoErr(json.Unmarshal(s.Answer("keg-ledger", b), &answer))
-		is.Equal(answer.Site, s.Site("keg-ledger", b))
-		is.Equal(answer.Site.Region(), b.Origin.Region()) // requests stay in the region of the caller
-		is.Equal(len(answer.Entries), 3)
-		firsts[answer.Entries[0].Address] = true
+		var response steerer.Answer
+		is.NoErr(json.Unmarshal(s.Answer("keg-ledger", b), &response))
+		is.Equal(response.Site, s.Site("keg-ledger", b))
+		is.Equal(response.Site.Region(), b.Origin.Region()) // requests stay in the region of the caller
+		is.Equal(len(response.Entries), 3)
+		firsts[response.Entries[0].Address] = true
 	}
 	is.Equal(len(firsts), 12) // every entry comes first for some block
 	is.Equal(s.Answer("other", locator.Block{}), nil)
