--- a/internal/version/authenticator/directory_test.go
+++ b/internal/version/authenticator/directory_test.go
@@ -11,7 +11,7 @@
 	"github.com/gullvale/gullvale/pkg/hasher"
 )
 
-// digests returns those of keys.
+// digests returns the digests of keys.
 func digests(keys ...string) (list []authenticator.Digest) {
 	for _, k := range keys {
 		list = append(list, authenticator.DigestOf(k))
@@ -38,7 +38,7 @@
 	tests := []struct {
 		name   string
 		values []string
-		want   authenticator.Flaw
+		want   authenticator.CredentialStatus
 	}{
 		{"one", []string{"abc"}, authenticator.Sound},
 		{"none", nil, authenticator.Missing},
@@ -54,14 +54,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, flaw := authenticator.Credential(tt.values)
-			is.New(t).Equal(flaw, tt.want)
+			_, status := authenticator.Credential(tt.values)
+			is.New(t).Equal(status, tt.want)
 		})
 	}
 }
 
-// TestSharedKeyIsNobodys gives one key to two organisations. Which of them sends a request
-// with it can't be told, so neither does, and the others keep theirs.
+// TestSharedKeyIsNobodys gives one key to several organisations. The sender of a
+// request with that key is ambiguous, so the key is assigned to none of them; their
+// other keys stay valid.
 func TestSharedKeyIsNobodys(t *testing.T) {
 	is := is.New(t)
 	d, err := authenticator.New([]authenticator.Organisation{
@@ -73,7 +74,7 @@
 	is.Equal(d.Holder("shared"), nil)
 	is.Equal(d.Holder("k1").Name, authenticator.Name("a"))
 	is.Equal(d.Holder("k2").Name, authenticator.Name("b"))
-	is.True(!strings.Contains(err.Error(), "shared")) // no key is written down
+	is.True(!strings.Contains(err.Error(), "shared")) // errors must not contain keys
 }
 
 func TestAllProblemsAtOnce(t *testing.T) {
@@ -84,7 +85,7 @@
 		{Name: "a"},
 	})
 	is.True(err != nil)
-	for _, part := range []string{"without a name", "below 0", `"a" is there twice`} {
+	for _, part := range []string{"without a name", "below 0", `"a" is defined twice`} {
 		is.True(strings.Contains(err.Error(), part))
 	}
 }
@@ -116,19 +117,19 @@
 	is.True(err != nil && !strings.Contains(err.Error(), "mistake"))
 }
 
-// TestHolderAllocatesNothing asks as each request does.
+// TestHolderAllocatesNothing guards the lookup that each request makes.
 func TestHolderAllocatesNothing(t *testing.T) {
 	d, values := many(t, 100), []string{"key-50-5"}
 	n := testing.AllocsPerRun(100, func() {
-		key, flaw := authenticator.Credential(values)
-		if flaw != authenticator.Sound || d.Holder(key) == nil {
+		key, status := authenticator.Credential(values)
+		if status != authenticator.Sound || d.Holder(key) == nil {
 			t.Error("not found")
 		}
 	})
 	is.New(t).Equal(n, 0.0)
 }
 
-// many is a directory of n organisations with 10 keys each.
+// many returns a directory of n organisations with 10 keys each.
 func many(t testing.TB, n int) *authenticator.Directory {
 	list := make([]authenticator.Organisation, n)
 	for i := range list {
@@ -144,7 +145,8 @@
 	return d
 }
 
-// BenchmarkHolder is what a request pays with 10,000 organisations of 10 keys.
+// BenchmarkHolder measures the cost per request with 10,000 organisations of 10 keys
+// each.
 func BenchmarkHolder(b *testing.B) {
 	d, values := many(b, 10_000), []string{"key-5000-5"}
 	b.ReportAllocs()
@@ -154,7 +156,8 @@
 	}
 }
 
-// BenchmarkNew is what a version with 10,000 organisations of 10 keys costs a daemon.
+// BenchmarkNew measures the cost for a daemon of building a directory of 10,000
+// organisations with 10 keys each.
 func BenchmarkNew(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/version/cataloger/catalog.go
+++ b/internal/version/cataloger/catalog.go
@@ -12,23 +12,23 @@
 )
 
 type (
-	// UpstreamID is what an upstream calls itself. It may start again under the id that
-	// it had.
+	// UpstreamID is the id under which an upstream registers. An upstream may restart
+	// under the same id.
 	UpstreamID string
 
-	// Incarnation is one life of an upstream, from a start to its end. Nothing that is
-	// known of one holds for the next: its connections, its load, the keys that it
-	// remembers.
+	// Incarnation identifies one run of an upstream, from start to termination. No
+	// state carries over to the next incarnation: neither connections nor load nor the
+	// keys that the upstream remembers.
 	Incarnation struct {
 		ID   UpstreamID
 		Born timekeeper.Millis
 	}
 
-	// Upstream is one incarnation as it was last reported.
+	// Upstream is the last reported state of one incarnation.
 	Upstream struct {
 		ID UpstreamID
-		// Born is when it started by its own clock, in milliseconds since the Unix
-		// epoch, 0 if it does not say.
+		// Born is the start time by the clock of the upstream, in milliseconds since
+		// the Unix epoch, or 0 if it is not reported.
 		Born    timekeeper.Millis
 		Service resolver.ServiceName
 		Address string
@@ -36,63 +36,65 @@
 		// Release is the version of the upstream's software.
 		Release string
 		Slots   int
-		// Leaving tells that it takes no new work.
+		// Leaving reports that the upstream accepts no new requests.
 		Leaving bool
-		// ColdUntil is a reading of the monotonic clock, 0 for a warm one.
+		// ColdUntil is the time on the monotonic clock until which the upstream is
+		// cold, or 0 if it is warm.
 		ColdUntil timekeeper.Millis
 
 		hash hasher.Hash
 	}
 
-	// Snapshot is the catalog at one moment. It never changes.
+	// Snapshot is an immutable view of the catalog.
 	Snapshot struct {
-		// Change numbers the snapshots of this process.
+		// Change is the sequence number of the snapshot within this process.
 		Change   uint64
 		services map[resolver.ServiceName][]*Upstream
 		usable   map[UpstreamID]*Upstream
 	}
 
-	// Catalog collects reports and publishes snapshots. The zero value is an
-	// empty catalog.
+	// Catalog collects reports and publishes snapshots. The zero value is an empty
+	// catalog. It is safe for concurrent use.
 	Catalog struct {
 		lock      sync.Mutex
 		upstreams map[UpstreamID]*Upstream
-		// lives is the latest start that was reported of each upstream, also of some
-		// that are gone: an older report that arrives late is of a former life.
-		lives     map[UpstreamID]timekeeper.Millis
-		evacuated map[string]bool
-		current   atomic.Pointer[Snapshot]
-		// batches is how many batches are open, and stale whether one of them
-		// changed anything.
-		batches int
-		stale   bool
+		// latestStart is the latest reported start time of each upstream, including
+		// some that have been removed. A delayed report with an earlier start time
+		// belongs to a former incarnation.
+		latestStart map[UpstreamID]timekeeper.Millis
+		evacuated   map[string]bool
+		current     atomic.Pointer[Snapshot]
+		// openBatches is the number of batches in progress. dirty reports whether one
+		// of them has changed anything.
+		openBatches int
+		dirty       bool
 	}
 )
 
-// goneLives is how many upstreams that are gone may be remembered. Late reports come
-// within seconds, in which a fleet of hundreds replaces some tens.
-const goneLives = 1000
+// maxRemovedStarts is the number of removed upstreams whose start time is kept. Delayed
+// reports arrive within seconds, in which a fleet of hundreds replaces some tens.
+const maxRemovedStarts = 1000
 
 var empty Snapshot
 
-// Hash identifies the incarnation.
+// Hash returns a hash that identifies the incarnation.
 func (u *Upstream) Hash() hasher.Hash {
 	return u.hash
 }
 
-// Incarnation tells this life of the upstream from others.
+// Incarnation returns the id and start time of u.
 func (u *Upstream) Incarnation() Incarnation {
 	return Incarnation{u.ID, u.Born}
 }
 
-func (u *Upstream) identify() {
+func (u *Upstream) setHash() {
 	u.hash = hasher.OfString(string(u.ID))
 	if u.Born != 0 {
 		u.hash = hasher.Mix(u.hash, hasher.Hash(u.Born))
 	}
 }
 
-// Cold tells whether u is cold at a reading of the clock.
+// Cold reports whether u is cold at a time on the monotonic clock.
 func (u *Upstream) Cold(now timekeeper.Millis) bool {
 	return now < u.ColdUntil
 }
@@ -105,13 +107,14 @@
 	return &empty
 }
 
-// Of returns the upstreams of a service that take new work. The slice must not
-// be changed.
+// Of returns the upstreams of a service that accept new requests. The caller must not
+// modify the slice.
 func (s *Snapshot) Of(name resolver.ServiceName) []*Upstream {
 	return s.services[name]
 }
 
-// Usable returns the upstream if this life of it takes new work, nil if not.
+// Usable returns the upstream if this incarnation of it accepts new requests, and nil
+// otherwise.
 func (s *Snapshot) Usable(i Incarnation) *Upstream {
 	if u := s.usable[i.ID]; u != nil && u.Born == i.Born {
 		return u
@@ -119,71 +122,73 @@
 	return nil
 }
 
-// Batch makes f's changes appear in one snapshot. Building one takes time in
-// proportion to all upstreams, and changes come by the hundred.
+// Batch publishes all changes that f makes in a single snapshot. Building a snapshot
+// takes time proportional to the number of upstreams, and changes arrive by the
+// hundred.
 func (c *Catalog) Batch(f func()) {
 	c.lock.Lock()
-	c.batches++
+	c.openBatches++
 	c.lock.Unlock()
 	f()
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.batches--
-	if c.batches == 0 && c.stale {
+	c.openBatches--
+	if c.openBatches == 0 && c.dirty {
 		c.publish()
 	}
 }
 
-// Put records what was reported of one upstream, and reports false if that was of a
-// former life.
+// Put records the reported state of an upstream. It ignores the report and returns
+// false if a later incarnation is known.
 func (c *Catalog) Put(u Upstream) (current bool) {
-	c.change(func() {
-		if current = c.enter(u); current {
-			u.identify()
+	c.update(func() {
+		if current = c.recordStart(u); current {
+			u.setHash()
 			c.upstreams[u.ID] = &u
 		}
 	})
 	return current
 }
 
-// enter notes a life, and reports false if a later one is known. The caller holds the
-// lock.
-func (c *Catalog) enter(u Upstream) bool {
-	if u.Born < c.lives[u.ID] {
+// recordStart records the start time of an upstream and reports whether no later one is
+// known. The caller must hold c.lock.
+func (c *Catalog) recordStart(u Upstream) bool {
+	if u.Born < c.latestStart[u.ID] {
 		return false
 	}
 	if u.Born != 0 {
-		c.lives[u.ID] = u.Born
+		c.latestStart[u.ID] = u.Born
 	}
 	return true
 }
 
-// forgetLives drops the lives of upstreams that are gone once there are many.
-func (c *Catalog) forgetLives() {
-	if len(c.lives) <= len(c.upstreams)+goneLives {
+// forgetStarts drops the start times of removed upstreams once there are more than
+// maxRemovedStarts.
+func (c *Catalog) forgetStarts() {
+	if len(c.latestStart) <= len(c.upstreams)+maxRemovedStarts {
 		return
 	}
-	maps.DeleteFunc(c.lives, func(id UpstreamID, _ timekeeper.Millis) bool {
+	maps.DeleteFunc(c.latestStart, func(id UpstreamID, _ timekeeper.Millis) bool {
 		return c.upstreams[id] == nil
 	})
 }
 
-// Remove forgets an upstream that is gone.
+// Remove removes an upstream.
 func (c *Catalog) Remove(id UpstreamID) {
-	c.change(func() {
+	c.update(func() {
 		delete(c.upstreams, id)
 	})
 }
 
-// Replace makes all known upstreams be those of a complete list. One that is listed with
-// a former life stays as it is known.
+// Replace replaces all upstreams with those of a complete list. If the list holds a
+// former incarnation of a known upstream, the known one is kept.
 func (c *Catalog) Replace(all []Upstream) {
-	c.change(func() {
+	c.update(func() {
 		before := c.upstreams
 		c.upstreams = make(map[UpstreamID]*Upstream, len(all))
 		for _, u := range all {
-			if c.enter(u) {
-				u.identify()
+			if c.recordStart(u) {
+				u.setHash()
 				c.upstreams[u.ID] = &u
 			} else if known := before[u.ID]; known != nil {
 				c.upstreams[u.ID] = known
@@ -192,17 +197,18 @@
 	})
 }
 
-// Evacuate says that a failure domain is to get nothing more.
+// Evacuate excludes the upstreams of a failure domain from new snapshots.
 func (c *Catalog) Evacuate(domain string) {
-	c.change(func() {
+	c.update(func() {
 		c.evacuated[domain] = true
 	})
 }
 
-// Readmit takes an evacuation back. Until coldUntil the upstreams of the domain
-// count as cold, since their caches may have been lost meanwhile.
+// Readmit ends an evacuation. The upstreams of the domain count as cold until the time
+// that coldUntil returns for their service, because they may have lost their caches in
+// the meantime.
 func (c *Catalog) Readmit(domain string, coldUntil func(resolver.ServiceName) timekeeper.Millis) {
-	c.change(func() {
+	c.update(func() {
 		if !c.evacuated[domain] {
 			return
 		}
@@ -229,7 +235,7 @@
 	return names
 }
 
-// All returns what was last reported of every upstream.
+// All returns the last reported state of every upstream.
 func (c *Catalog) All() []Upstream {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -240,7 +246,7 @@
 	return all
 }
 
-// Known returns what was last reported of an upstream.
+// Known returns the last reported state of an upstream, and whether there is one.
 func (c *Catalog) Known(id UpstreamID) (Upstream, bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -251,25 +257,25 @@
 	return *u, true
 }
 
-func (c *Catalog) change(f func()) {
+func (c *Catalog) update(f func()) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if c.upstreams == nil {
 		c.upstreams = map[UpstreamID]*Upstream{}
-		c.lives = map[UpstreamID]timekeeper.Millis{}
+		c.latestStart = map[UpstreamID]timekeeper.Millis{}
 		c.evacuated = map[string]bool{}
 	}
 	f()
-	c.forgetLives()
-	if c.batches > 0 {
-		c.stale = true
+	c.forgetStarts()
+	if c.openBatches > 0 {
+		c.dirty = true
 		return
 	}
 	c.publish()
 }
 
 func (c *Catalog) publish() {
-	c.stale = false
+	c.dirty = false
 	s := &Snapshot{
 		Change:   c.Current().Change + 1,
 		services: map[resolver.ServiceName][]*Upstream{},
