--- a/internal/request/forwarder/answer.go
+++ b/internal/request/forwarder/answer.go
@@ -11,7 +11,7 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// Refusal is the body of an answer that the entry gives itself.
+// Refusal is the body of a response that the entry itself gives.
 type Refusal struct {
 	Outcome          string
 	Reason           string
@@ -19,7 +19,7 @@
 	RetryAfterMillis timekeeper.Millis
 }
 
-// writeHead passes the head of an upstream's answer on.
+// writeHead forwards the status and header of an upstream's response.
 func (x *exchange) writeHead(a exchanger.Answer) error {
 	h := x.writer.Header()
 	RemoveHop(a.Header)
@@ -59,14 +59,13 @@
 	}
 }
 
-// finish ends the exchange as the result says.
+// finish completes the exchange according to the result.
 func (x *exchange) finish(r exchanger.Result) {
 	x.observe(r)
 	if x.started {
 		if !r.Whole {
-			// Closing the connection is how HTTP/1.1 says that an answer is
-			// broken. What there is of it goes first: without its head the
-			// caller could not tell a broken answer from none.
+			// HTTP/1.1 signals an incomplete response by closing the connection. Flush first:
+			// without the head the caller could not tell an incomplete response from none.
 			_ = http.NewResponseController(x.writer).Flush()
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/request/forwarder/body.go
+++ b/internal/request/forwarder/body.go
@@ -11,19 +11,20 @@
 	"github.com/gullvale/gullvale/internal/version/resolver"
 )
 
-// maxBufferedBody is up to how many bytes a body is read before a slot is asked for. It
-// can then be handed over with the head, and handed over again.
+// maxBufferedBody is how many bytes of a body are read before a slot is requested. A body up
+// to this size is handed over together with the head, and can be handed over again.
 const maxBufferedBody = 16 << 10
 
-var errBodyTooLarge = errors.New("body over the limit of the service")
+var errBodyTooLarge = errors.New("body exceeds the limit of the service")
 
-// setBody reads a short body and prepares to stream a long one.
+// setBody reads a short body and prepares to stream a long one. It reports false if it refused
+// the request.
 func (x *exchange) setBody(c *exchanger.Call) bool {
 	r := x.request
-	most := x.service.MaxBody
-	if r.ContentLength > most {
+	limit := x.service.MaxBody
+	if r.ContentLength > limit {
 		x.reject(http.StatusRequestEntityTooLarge, exchanger.ReasonBodyTooLarge,
-			fmt.Sprintf("%d bytes, %s of %s is %d", r.ContentLength, resolver.KeyMaxBody, x.service.Name, most))
+			fmt.Sprintf("%d bytes, %s of %s is %d", r.ContentLength, resolver.KeyMaxBody, x.service.Name, limit))
 		return false
 	}
 	switch {
@@ -34,19 +35,20 @@
 		c.Body, c.BodyReady = r.Body, true
 		return true
 	}
-	return x.readShortBody(c, most)
+	return x.readShortBody(c, limit)
 }
 
-// readShortBody reads the first part of a body. If that is all, the body is short.
-func (x *exchange) readShortBody(c *exchanger.Call, most int64) bool {
-	head, err := io.ReadAll(io.LimitReader(x.request.Body, min(maxBufferedBody, most)+1))
+// readShortBody reads the first part of a body of unknown or short length. If that is all, the
+// call carries it in full; otherwise the body is streamed.
+func (x *exchange) readShortBody(c *exchanger.Call, limit int64) bool {
+	head, err := io.ReadAll(io.LimitReader(x.request.Body, min(maxBufferedBody, limit)+1))
 	if err != nil {
-		x.reject(http.StatusBadRequest, exchanger.ReasonBody, "the body broke off")
+		x.reject(http.StatusBadRequest, exchanger.ReasonBody, "the request body is incomplete")
 		return false
 	}
-	if int64(len(head)) > most {
+	if int64(len(head)) > limit {
 		x.reject(http.StatusRequestEntityTooLarge, exchanger.ReasonBodyTooLarge,
-			fmt.Sprintf("%s of %s is %d", resolver.KeyMaxBody, x.service.Name, most))
+			fmt.Sprintf("%s of %s is %d", resolver.KeyMaxBody, x.service.Name, limit))
 		return false
 	}
 	if len(head) <= maxBufferedBody {
@@ -55,11 +57,11 @@
 		return true
 	}
 	c.BodyReady = true
-	c.Body = io.MultiReader(bytes.NewReader(head), &limitedBody{source: x.request.Body, remaining: most - int64(len(head))})
+	c.Body = io.MultiReader(bytes.NewReader(head), &limitedBody{source: x.request.Body, remaining: limit - int64(len(head))})
 	return true
 }
 
-// limitedBody fails, unlike io.LimitReader, when there is more.
+// limitedBody limits a body. Unlike io.LimitReader, it fails if the body exceeds the limit.
 type limitedBody struct {
 	source    io.Reader
 	remaining int64
--- a/internal/request/forwarder/budget.go
+++ b/internal/request/forwarder/budget.go
@@ -6,14 +6,14 @@
 	"github.com/gullvale/gullvale/internal/version/resolver"
 )
 
-// reserve is how many retries a service may have before any request earned
-// one, so that a quiet service is not refused its first.
+// initialTokens is how many retries a service may have before any request has earned one, so
+// that a quiet service is not refused its first retry. It is also the maximum.
 const initialTokens = 10
 
 type (
-	// budgets bounds retries to a part of the first tries of each service, so
-	// that a failing upstream is not hit harder for failing. The zero value is
-	// ready.
+	// budgets limits the retries of each service to a ratio of its first attempts, so that a
+	// failing upstream does not get more load because it fails. The zero value is ready to
+	// use.
 	budgets struct {
 		services sync.Map
 	}
@@ -33,15 +33,15 @@
 	return v.(*budget)
 }
 
-// earn notes a first try.
-func (b *budget) earn(part float64) {
+// earn adds the retry tokens earned by a first attempt.
+func (b *budget) earn(ratio float64) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.initialise()
-	b.tokens = min(b.tokens+part, initialTokens)
+	b.tokens = min(b.tokens+ratio, initialTokens)
 }
 
-// spend takes a retry, and reports false when there is none left.
+// spend takes one retry token, and reports false if none is left.
 func (b *budget) spend() bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/request/forwarder/detour.go
+++ b/internal/request/forwarder/detour.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// A site that served nothing is left alone for initialBackOff, twice as long
-	// each time that a request sent to try it fails, up to maxBackOff.
+	// A site that served nothing is backed off for initialBackOff. The delay doubles each time
+	// that a request sent to test the site fails, up to maxBackOff.
 	initialBackOff = 250 * timekeeper.Millis(1)
 	maxBackOff     = 4 * timekeeper.Second
 
-	// maxDetours is how many other sites a request is offered.
+	// maxDetours is the maximum number of other sites that a request is offered to.
 	maxDetours = 3
 )
 
 type (
-	// siteBackOffs remembers which sites serve nothing of a service. Every entry
-	// finds that out by itself, with a request now and then, and needs neither
-	// the planner nor the platform for it. The zero value is ready.
+	// siteBackOffs tracks the sites that serve nothing of a service. Every entry detects that
+	// by itself, with an occasional request, and depends on neither the planner nor the
+	// platform for it. The zero value is ready to use.
 	siteBackOffs struct {
 		lock  sync.Mutex
 		sites map[pooler.Key]siteBackOff
@@ -41,8 +41,8 @@
 	}
 )
 
-// active tells whether a site is to be left alone now. Once its time is over one
-// request may try it; the others go on as before until that has ended.
+// active reports whether a site is backed off now. Once its delay is over, one request may
+// test the site; the others avoid it until that request has ended.
 func (d *siteBackOffs) active(k pooler.Key, now timekeeper.Millis) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -59,7 +59,7 @@
 	return false
 }
 
-// exists tells whether a site served nothing when last tried.
+// exists reports whether a site served nothing when it was last tried.
 func (d *siteBackOffs) exists(k pooler.Key) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -67,8 +67,8 @@
 	return ok
 }
 
-// record takes in how a request at a site ended. It reports whether that changed what
-// is known of the site.
+// record records whether a site served a request, and reports whether that changed what is
+// known of the site.
 func (d *siteBackOffs) record(k pooler.Key, now timekeeper.Millis, served bool) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -85,7 +85,7 @@
 	return ok == served
 }
 
-// unserved tells whether a result means that nobody at the site serves.
+// unserved reports whether a result means that no daemon of the site serves the service.
 func unserved(r exchanger.Result) bool {
 	if r.Outcome != exchanger.NotRun {
 		return false
@@ -97,7 +97,7 @@
 	return false
 }
 
-// run runs the call at its site and, when nobody there serves, at another.
+// run runs the call at its site or, if nothing there serves it, at another site.
 func (f *Forwarder) run(ctx context.Context, c *exchanger.Call, s *resolver.Service) exchanger.Result {
 	t := &attempts{call: c, idempotent: s.Idempotent(c.Method)}
 	t.trackProgress()
@@ -133,7 +133,7 @@
 	return r
 }
 
-// detour offers the call to other sites. It reports false when no site took it.
+// detour offers the call to other sites. It reports false if no site took it.
 func (f *Forwarder) detour(ctx context.Context, t *attempts) (exchanger.Result, bool) {
 	c := t.call
 	for _, site := range f.detourSites(f.Snapshot(), c) {
@@ -154,13 +154,13 @@
 	return exchanger.Result{}, false
 }
 
-// detourSites returns where a call may go instead of its site: to the sites of the
-// origin's region first, in random order by what they may carry.
+// detourSites returns the sites that a call may be offered to instead of its own: those in the
+// origin's region first, each group in random order weighted by what the sites may carry.
 func (f *Forwarder) detourSites(s *steerer.Snapshot, c *exchanger.Call) []registrar.Site {
 	type option struct {
-		site registrar.Site
-		near int
-		draw float64
+		site   registrar.Site
+		remote int
+		order  float64
 	}
 	var all []option
 	wall := f.Clock.WallNow()
@@ -171,14 +171,14 @@
 		if site == c.Site || weight == 0 || set.DrainedAt(wall) || f.siteBackOffs.exists(k) {
 			continue
 		}
-		o := option{site: site, draw: math.Pow(rand.Float64(), 1/weight)}
+		o := option{site: site, order: math.Pow(rand.Float64(), 1/weight)}
 		if site.Region() != c.Origin.Region() {
-			o.near = 1
+			o.remote = 1
 		}
 		all = append(all, o)
 	}
 	slices.SortFunc(all, func(a, b option) int {
-		return cmp.Or(cmp.Compare(a.near, b.near), cmp.Compare(b.draw, a.draw))
+		return cmp.Or(cmp.Compare(a.remote, b.remote), cmp.Compare(b.order, a.order))
 	})
 	var out []registrar.Site
 	for _, o := range all[:min(len(all), maxDetours)] {
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -26,11 +26,11 @@
 const maxDeadline = 24 * timekeeper.Hour
 
 type (
-	// Forwarder forwards the requests of one daemon. Set the exported fields
-	// before use.
+	// Forwarder forwards the requests of one daemon. The exported fields must be set before
+	// use.
 	Forwarder struct {
-		// Base lives as long as the process. Links that a request starts live
-		// on with it.
+		// Base lives as long as the process. Links that are opened for a request outlive it
+		// and use this context.
 		Base     context.Context
 		Clock    timekeeper.Clock
 		Self     func() registrar.Member
@@ -38,15 +38,15 @@
 		Owner    *pooler.Owner
 		Links    *linker.Manager
 		Meter    *measurer.Meter
-		// Leaving tells that callers should not keep their connections.
+		// Leaving reports whether callers should close their connections because the daemon is
+		// stopping.
 		Leaving func() bool
-		// Quarantine knows requests that crash their upstreams. Nil means that none is kept
-		// from them.
+		// Quarantine tracks requests that crash their upstreams. Nil means that none is
+		// refused for it.
 		Quarantine *quarantiner.Quarantiner
-		// Keys remembers the requests that carry a key.
+		// Keys remembers the requests that carry an idempotency key.
 		Keys *keykeeper.Keeper
-		// MostInFlight is how many requests may be here at once; 0 means
-		// DefaultMostInFlight.
+		// MostInFlight bounds the requests in flight; 0 means DefaultMostInFlight.
 		MostInFlight int64
 
 		budgets      budgets
@@ -55,7 +55,7 @@
 		inFlight     atomic.Int64
 	}
 
-	// exchange is one request of a caller.
+	// exchange is the state of one request of a caller.
 	exchange struct {
 		forwarder      *Forwarder
 		writer         http.ResponseWriter
@@ -68,7 +68,7 @@
 	}
 )
 
-// InFlight returns how many requests are here now, from callers or links.
+// InFlight returns the number of requests in flight, both from callers and over links.
 func (f *Forwarder) InFlight() int64 {
 	return f.inFlight.Load()
 }
@@ -90,7 +90,7 @@
 	x.finish(f.runCall(r.Context(), c, x.service))
 }
 
-// runCall runs a call here or, when it carries a key, at the key's home.
+// runCall runs a call here or, if it carries a key and is not idempotent, at the key's home.
 func (f *Forwarder) runCall(ctx context.Context, c *exchanger.Call, s *resolver.Service) exchanger.Result {
 	key := c.Header.Get(HeaderKey)
 	if key == "" || s.Idempotent(c.Method) {
@@ -99,7 +99,8 @@
 	return f.runKeyed(ctx, c, s, keykeeper.Key(key))
 }
 
-// Names tells whether a request names a service, so that its path is not ours.
+// Names reports whether a request names a service. Its path is then not one of the daemon's
+// own.
 func (f *Forwarder) Names(r *http.Request) bool {
 	if r.Header.Get(HeaderService) != "" {
 		return true
@@ -131,15 +132,15 @@
 		return exchanger.Refused(exchanger.ReasonUnknownService, 0)
 	}
 	if c.Key != "" {
-		// A key's home stands in for the entry: it may hand the call on.
+		// A key's home acts in place of the entry: it may hand the call on.
 		return f.runLinkedKey(ctx, c, s)
 	}
 	c.Relayed = true
 	return f.run(ctx, c, s)
 }
 
-// MayOverlap tells whether a request may be handled beside others of its connection: one
-// that its service allows to run twice.
+// MayOverlap reports whether a request may be handled concurrently with others of its
+// connection. Only requests that their service declares idempotent may.
 func (f *Forwarder) MayOverlap(r *http.Request) bool {
 	s := f.Snapshot()
 	if s == nil {
@@ -157,7 +158,7 @@
 	return service != nil && service.Idempotent(r.Method)
 }
 
-// newCall builds the call, or refuses the request.
+// newCall builds the call for the request. It reports false if it refused the request.
 func (x *exchange) newCall(s *steerer.Snapshot) (*exchanger.Call, bool) {
 	r := x.request
 	name, ok := serviceOf(r, s)
@@ -175,7 +176,7 @@
 		x.service = at
 	}
 	if x.service == nil || site == "" {
-		return x.reject(http.StatusServiceUnavailable, exchanger.ReasonNoEntry, fmt.Sprintf("no site takes %s", name))
+		return x.reject(http.StatusServiceUnavailable, exchanger.ReasonNoEntry, fmt.Sprintf("no site accepts requests for %s", name))
 	}
 	if x.shedIfFull() {
 		return nil, false
@@ -221,19 +222,18 @@
 	if h := r.Header.Get(HeaderBlock); h != "" {
 		a, err := netip.ParseAddr(h)
 		if err != nil {
-			return locator.Block{}, fmt.Errorf("%s %q is not an IP number", HeaderBlock, h)
+			return locator.Block{}, fmt.Errorf("%s %q is not an IP address", HeaderBlock, h)
 		}
 		return s.Find(a), nil
 	}
 	a, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
-		return locator.Block{}, fmt.Errorf("no address of the caller: %w", err)
+		return locator.Block{}, fmt.Errorf("parse the address of the caller: %w", err)
 	}
 	return s.Find(a.Addr()), nil
 }
 
-// deadline returns when the caller gives up, by the monotonic clock; 0 is
-// never.
+// deadline returns when the caller stops waiting, by the monotonic clock; 0 means never.
 func (x *exchange) deadline() (timekeeper.Millis, error) {
 	wait := x.service.Deadline
 	if h := x.request.Header.Get(HeaderDeadline); h != "" {
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -28,7 +28,7 @@
 	service resolver.ServiceName = "keg-ledger"
 )
 
-// newForwarder is the only daemon of a site with one upstream.
+// newForwarder returns the forwarder of the only daemon of a site with one upstream.
 func newForwarder(t *testing.T, upstream http.HandlerFunc) *forwarder.Forwarder {
 	t.Helper()
 	u := httptest.NewServer(upstream)
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestDoubtStays has the only upstream take a request and break off. Nobody is left
-// to try it, which does not mean that it did not run.
+// TestDoubtStays has the only upstream take a request and break off. That no other upstream is
+// left to retry it does not mean that it did not run.
 func TestDoubtStays(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// startPeer is a daemon of the site that answers what comes over its links.
+// startPeer starts a daemon of the site that responds to calls over its links.
 func startPeer(t *testing.T, i registrar.Incarnation, serve func() exchanger.Result) registrar.Member {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,8 +111,8 @@
 	return m
 }
 
-// TestOwnerPassesOn sends many requests at once while the daemon that told of free
-// slots owns none any more and another does. All are answered there.
+// TestOwnerPassesOn sends many requests at once while the daemon that advertised free slots no
+// longer owns any and another daemon does. All requests are answered there.
 func TestOwnerPassesOn(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, func(http.ResponseWriter, *http.Request) {})
--- a/internal/request/forwarder/header.go
+++ b/internal/request/forwarder/header.go
@@ -7,27 +7,27 @@
 	"strings"
 )
 
-// The headers between callers and entries.
+// Header fields between callers and entries.
 const (
-	// HeaderService names the service; without it the Host header does.
+	// HeaderService names the service. Without it the Host header does.
 	HeaderService = "Gullvale-Service"
-	// HeaderBlock is an address in the caller's client block; without it the
-	// address of the connection counts.
+	// HeaderBlock is an address in the caller's client block. The default is the address of
+	// the connection.
 	HeaderBlock = "Gullvale-Block"
-	// HeaderDeadline is the time in milliseconds that the caller will wait.
+	// HeaderDeadline is how long the caller waits, in milliseconds.
 	HeaderDeadline = "Gullvale-Deadline-Millis"
-	// HeaderOutcome says what became of the request.
+	// HeaderOutcome is the outcome of the request.
 	HeaderOutcome = "Gullvale-Outcome"
-	// HeaderReason says why, when it was not answered.
+	// HeaderReason is the reason why the request was not answered.
 	HeaderReason = "Gullvale-Reason"
-	// HeaderUpstream and HeaderEntry say who served it.
+	// HeaderUpstream and HeaderEntry name the upstream and entry that served the request.
 	HeaderUpstream = "Gullvale-Upstream"
 	HeaderEntry    = "Gullvale-Entry"
-	// HeaderRetryAfter says in milliseconds when to come back.
+	// HeaderRetryAfter is how long the caller should wait before it retries, in milliseconds.
 	HeaderRetryAfter = "Gullvale-Retry-After-Millis"
 )
 
-// hopHeaders speak of one connection only.
+// hopHeaders are the hop-by-hop header fields.
 var hopHeaders = []string{
 	"Connection",
 	"Proxy-Connection",
@@ -40,10 +40,10 @@
 	"Upgrade",
 }
 
-// ownHeaders are for the entry and not for the upstream.
+// ownHeaders are addressed to the entry and not forwarded to the upstream.
 var ownHeaders = []string{HeaderService, HeaderBlock, HeaderDeadline, HeaderFirstTry}
 
-// requestHeader returns the fields that go on to the upstream.
+// requestHeader returns the header fields to send to the upstream.
 func requestHeader(r *http.Request) http.Header {
 	h := r.Header.Clone()
 	RemoveHop(h)
--- a/internal/request/forwarder/keyed.go
+++ b/internal/request/forwarder/keyed.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	// HeaderKey names the field that holds a key.
+	// HeaderKey names the header field that holds an idempotency key.
 	HeaderKey = "Idempotency-Key"
-	// HeaderFirstTry says that a key was never sent before. The finder library
-	// sets it; whoever repeats a key must not.
+	// HeaderFirstTry states that a key was never sent before. The finder library sets it; a
+	// caller that sends a key again must not.
 	HeaderFirstTry = "Gullvale-First-Try"
-	// HeaderReplayed marks an answer that was kept from an earlier try.
+	// HeaderReplayed marks a stored response to an earlier attempt.
 	HeaderReplayed = "Gullvale-Replayed"
 
-	// PathOutcome tells what became of a key.
+	// PathOutcome is the path that reports the outcome of a key.
 	PathOutcome = "/Outcome"
 
 	keySeparator = "."
 	maxKeyBytes  = 200
 )
 
-// OutcomeAnswer is the answer to GET /Outcome?Key=….
+// OutcomeAnswer is the response to GET /Outcome?Key=….
 type OutcomeAnswer struct {
 	Key     string
 	State   string
@@ -39,7 +39,7 @@
 	Reason  string `json:",omitempty"`
 }
 
-// keyIncarnation returns the incarnation that a key of the finder library names.
+// keyIncarnation returns the incarnation named in a key that the finder library made.
 func keyIncarnation(key keykeeper.Key) (registrar.Incarnation, bool) {
 	name, _, ok := strings.Cut(string(key), keySeparator)
 	if !ok || len(name) != registrar.IncarnationDigits {
@@ -49,22 +49,21 @@
 	return registrar.Incarnation(name), err == nil
 }
 
-// home returns the daemon that alone may run a key. It reports false when that
-// daemon is not a member any more.
+// home returns the only daemon that may run a key. It reports false if that daemon is no
+// longer a member.
 func (f *Forwarder) home(s *steerer.Snapshot, key keykeeper.Key) (registrar.Member, bool) {
 	i, ok := keyIncarnation(key)
 	switch {
 	case !ok:
 		return s.View.Home(string(key))
 	case i == f.Self().Incarnation:
-		// Whatever the rosters say: they may not have come here yet.
+		// The rosters may not have arrived here yet.
 		return f.Self(), true
 	}
 	return s.View.Find(i)
 }
 
-// runKeyed runs a call that carries a key: here if this is the key's home, else
-// there.
+// runKeyed runs a call that carries a key at the key's home, which may be this daemon.
 func (f *Forwarder) runKeyed(ctx context.Context, c *exchanger.Call, s *resolver.Service, key keykeeper.Key) exchanger.Result {
 	if len(key) > maxKeyBytes {
 		return exchanger.Refused(exchanger.ReasonBadRequest, 0)
@@ -80,19 +79,19 @@
 	return f.handOver(ctx, c, h)
 }
 
-// runLinkedKey runs a call that was handed over for its key.
+// runLinkedKey runs a call that was handed over because of its key.
 func (f *Forwarder) runLinkedKey(ctx context.Context, c *exchanger.Call, s *resolver.Service) exchanger.Result {
 	h, ok := f.home(f.Snapshot(), keykeeper.Key(c.Key))
 	if !c.Held && (!ok || h.Incarnation != f.Self().Incarnation) {
-		// The sender knows other rosters. Neither may run it before they agree.
+		// The sender knows other rosters. Neither daemon may run the call before they agree.
 		return exchanger.Lost(exchanger.ReasonHomeLost, "")
 	}
 	return f.runAtHome(ctx, c, s, keykeeper.Key(c.Key))
 }
 
-// homeLost is the result of a call that was handed to nobody, since the home of
-// its key is not reached. This try did not run, but the key may have run there
-// before, unless this is its first try.
+// homeLost returns the result of a call that was not handed over because the home of its key
+// is unreachable. This attempt did not run, but the key may have run there before, unless this
+// is its first attempt.
 func homeLost(c *exchanger.Call) exchanger.Result {
 	if c.FirstTry {
 		return exchanger.Refused(exchanger.ReasonHomeLost, 0)
@@ -100,7 +99,7 @@
 	return exchanger.Lost(exchanger.ReasonHomeLost, "")
 }
 
-// handOver hands a call to a daemon for its key.
+// handOver hands a call over to the daemon that is, or was, the home of its key.
 func (f *Forwarder) handOver(ctx context.Context, c *exchanger.Call, h registrar.Member) exchanger.Result {
 	p := f.Links.Peer(f.Base, h)
 	wait, cancel := context.WithTimeout(ctx, linkTimeout.Duration())
@@ -115,8 +114,8 @@
 	return r
 }
 
-// runAtHome runs a call whose key has its home here, unless the key is known here
-// or where its home may have been before.
+// runAtHome runs a call whose key has its home here, unless the key is already known here or
+// at a former home.
 func (f *Forwarder) runAtHome(ctx context.Context, c *exchanger.Call, s *resolver.Service, key keykeeper.Key) exchanger.Result {
 	r, verdict := f.Keys.Begin(key, printOfCall(c))
 	switch verdict {
@@ -135,8 +134,8 @@
 	return f.runNewKey(ctx, c, s, key, r)
 }
 
-// printOfCall tells the request of a call from others. Of a long body only the length
-// counts: it is not at hand.
+// printOfCall returns a hash that distinguishes the request of a call from others. Of a
+// streamed body only the length is included, since its content is not available.
 func printOfCall(c *exchanger.Call) keykeeper.Print {
 	if c.Body != nil {
 		return keykeeper.PrintOf(c.Method, c.Target, strconv.AppendInt(nil, c.Length, 10))
@@ -144,9 +143,9 @@
 	return keykeeper.PrintOf(c.Method, c.Target, c.Short)
 }
 
-// settleAtFormerHome looks where a key that a caller made may have had its home while it
-// would be remembered. If one of those daemons holds it, it settles the call; if
-// one is gone, nobody can say whether the key ran.
+// settleAtFormerHome asks the daemons that may have been the home of a caller's key within the
+// time that keys are kept. If one of them holds the key, it settles the call; if one is gone,
+// the outcome of the key is unknown.
 func (f *Forwarder) settleAtFormerHome(ctx context.Context, c *exchanger.Call, key keykeeper.Key) (exchanger.Result, bool) {
 	if _, made := keyIncarnation(key); made || c.Held {
 		return exchanger.Result{}, false
@@ -174,11 +173,11 @@
 	return exchanger.Result{}, false
 }
 
-// runNewKey runs a call whose key was begun for it. The run goes on when the
-// caller goes away, so that a repeat finds the outcome.
+// runNewKey runs a call whose key was registered for it. The run continues when the caller
+// leaves, so that a retry finds the outcome.
 func (f *Forwarder) runNewKey(ctx context.Context, c *exchanger.Call, s *resolver.Service, key keykeeper.Key, r *keykeeper.Record) exchanger.Result {
-	// From here on the call is one without a key: a daemon that relays it is
-	// not asked as the key's home.
+	// From here on the call has no key: a daemon that relays it is not asked as the key's
+	// home.
 	c.Key, c.Held = "", false
 	var rec keykeeper.Recorder
 	rec.Attach(c)
@@ -189,7 +188,7 @@
 	return result
 }
 
-// ignoreWriteErrors lets the answer be read to its end though the caller went away.
+// ignoreWriteErrors lets the response be read to its end although the caller has left.
 func ignoreWriteErrors(c *exchanger.Call) {
 	start, write := c.Start, c.Write
 	gone := false
@@ -205,7 +204,7 @@
 	}
 }
 
-// replay gives a repeat of a key what the first got, once that is known.
+// replay gives a repeated key the response to its first request, once that has ended.
 func (f *Forwarder) replay(ctx context.Context, c *exchanger.Call, r *keykeeper.Record) exchanger.Result {
 	if c.Deadline > 0 {
 		var cancel context.CancelFunc
@@ -233,8 +232,8 @@
 	return exchanger.Result{Outcome: exchanger.Answered, Whole: true, Upstream: result.Upstream}
 }
 
-// ServeOutcome answers GET /Outcome?Key=…. Another daemon's key is answered by a
-// redirect to it.
+// ServeOutcome responds to GET /Outcome?Key=…. It redirects to the key's home if that is
+// another daemon.
 func (f *Forwarder) ServeOutcome(w http.ResponseWriter, r *http.Request) {
 	key := keykeeper.Key(r.URL.Query().Get("Key"))
 	a := OutcomeAnswer{Key: string(key), State: "absent"}
@@ -259,7 +258,7 @@
 	_ = json.NewEncoder(w).Encode(a)
 }
 
-// lookUpLinked answers another daemon that asks whether a key is held here.
+// lookUpLinked responds to another daemon that asks whether a key is held here.
 func (f *Forwarder) lookUpLinked(key keykeeper.Key) exchanger.Result {
 	state, result := f.Keys.Look(key)
 	switch state {
--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -10,21 +10,22 @@
 	"github.com/gullvale/gullvale/internal/request/quarantiner"
 )
 
-// beginning keeps the first part of a long body, as it passes, so that its request can be
-// recognised.
+// prefixReader keeps the first part of a streamed body as it is read, so that the request can
+// be fingerprinted.
 type prefixReader struct {
 	body io.Reader
-	// readable tells that the body may be read before a slot is held: that of a call which came
-	// over a link arrives only after that.
+	// readable means that the body may be read before a slot is held. The body of a call that
+	// came over a link is sent only after that.
 	readable bool
 
 	lock sync.Mutex
-	// buffered is the first part, and unread what of it was read ahead.
+	// buffered is the first part of the body, and unread the part of it that was read ahead
+	// but not consumed yet.
 	buffered []byte
 	unread   []byte
 }
 
-// Read keeps what it reads, up to maxBufferedBody bytes.
+// Read reads from the body and keeps up to maxBufferedBody bytes.
 func (b *prefixReader) Read(p []byte) (int, error) {
 	if n := b.takeUnread(p); n > 0 {
 		return n, nil
@@ -46,7 +47,7 @@
 	return n
 }
 
-// Close tells the source of the body that nobody reads it any more.
+// Close tells the source of the body that it is no longer read.
 func (b *prefixReader) Close() error {
 	if c, ok := b.body.(io.Closer); ok {
 		return c.Close()
@@ -54,8 +55,8 @@
 	return nil
 }
 
-// readAhead reads the first part before anybody else does. An error comes again with the next
-// read.
+// readAhead reads the first part of the body before it is consumed. An error is returned by
+// the next Read.
 func (b *prefixReader) readAhead() {
 	if _, whole := b.prefix(); whole || !b.readable {
 		return
@@ -74,9 +75,9 @@
 	return bytes.Clone(b.buffered), len(b.buffered) == maxBufferedBody
 }
 
-// fingerprint returns what stands for a call. The service counts in place of the host, which
-// is the entry's own address where a caller names the service. Of a long body its beginning
-// and its length count.
+// fingerprint returns the fingerprint of a call. It uses the service in place of the host,
+// since the host is the entry's own address if the caller names the service in a header. Of a
+// streamed body it uses the beginning and the length.
 func fingerprint(c *exchanger.Call, body []byte) quarantiner.Fingerprint {
 	return quarantiner.Content{
 		Method: c.Method, Host: string(c.Service), Target: c.Target,
@@ -84,8 +85,8 @@
 	}.Fingerprint()
 }
 
-// callFingerprint returns what stands for the call of the try, and reports false for a long body of which
-// too little was read to tell.
+// callFingerprint returns the fingerprint of the call, and reports false if too little of a
+// streamed body was read to compute it.
 func (t *attempts) callFingerprint() (quarantiner.Fingerprint, bool) {
 	if t.fingerprint != nil {
 		return *t.fingerprint, true
@@ -103,12 +104,12 @@
 	return f, true
 }
 
-// anySuspects tells whether any request is a suspect now: nearly always none is.
+// anySuspects reports whether any request is currently a suspect. Usually none is.
 func (f *Forwarder) anySuspects() bool {
 	return f.Quarantine != nil && f.Quarantine.HasSuspects()
 }
 
-// refuseQuarantined refuses a call that is in quarantine.
+// refuseQuarantined returns a refusal for a call, and whether the call is in quarantine.
 func (f *Forwarder) refuseQuarantined(t *attempts) (exchanger.Result, bool) {
 	if !f.anySuspects() {
 		return exchanger.Result{}, false
@@ -124,7 +125,8 @@
 	return exchanger.Refused(exchanger.ReasonQuarantined, t.observation.After), t.observation.Barred
 }
 
-// updateSuspect takes in what a run says of its call.
+// updateSuspect records what the result of an attempt says about its call: that it crashed the
+// upstream, or that it is innocent.
 func (f *Forwarder) updateSuspect(t *attempts, r exchanger.Result) {
 	if f.Quarantine == nil {
 		return
@@ -145,7 +147,7 @@
 	}
 }
 
-// Admit refuses a call that came into quarantine while it waited for a slot.
+// Admit refuses a call that was quarantined while it waited for a slot.
 func (f *Forwarder) Admit(c *exchanger.Call) (exchanger.Result, bool) {
 	if c.Body != nil || !f.anySuspects() {
 		return exchanger.Result{}, false
--- a/internal/request/forwarder/quarantine_test.go
+++ b/internal/request/forwarder/quarantine_test.go
@@ -15,10 +15,10 @@
 	"github.com/gullvale/gullvale/internal/request/quarantiner"
 )
 
-// A caller of a long upload waited until its deadline while another request was a suspect: the
-// daemon that chose the owner for it read the body ahead, to recognise the request, and the entry
-// sends a body only once a slot is held. One of 54 uploads in a run of the test of deadly requests
-// at owners ended with "deadline" so.
+// A daemon that chooses the owner for another entry must not read a body ahead to fingerprint
+// the request while another request is a suspect: the entry sends the body only once a slot is
+// held, so both would wait until the deadline. One of 54 uploads in a run of the test of
+// crashing requests at owners failed in this way.
 func TestLinkedBodyIsNotReadAhead(t *testing.T) {
 	is := is.New(t)
 	var got atomic.Int64
@@ -44,8 +44,8 @@
 	is.Equal(got.Load(), int64(40_000))
 }
 
-// TestLongBodiesAreToldApart has a request with a long body in quarantine. The same beginning
-// and length bar another one, another beginning or length does not.
+// TestLongBodiesAreToldApart quarantines a request with a long body. A request with the same
+// beginning and length is refused; one with another beginning or length is not.
 func TestLongBodiesAreToldApart(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
--- a/internal/request/forwarder/route.go
+++ b/internal/request/forwarder/route.go
@@ -16,21 +16,21 @@
 const (
 	maxAttempts = 4
 
-	// linkTimeout is how long a request waits for a link that is not up yet.
+	// linkTimeout is how long a request waits for a link to come up.
 	linkTimeout = timekeeper.Second
 )
 
 // candidate is a daemon that may run a request.
 type candidate struct {
-	// peer is nil for this daemon itself.
-	peer  *linker.Peer
+	// peer is nil for this daemon.
+	peer *linker.Peer
+	// relay means that the daemon is asked to choose the owner.
 	relay bool
 	free  int
 	slots int
 }
 
-// runAtSite finds a daemon for the call at its site and runs it there, again if it
-// may.
+// runAtSite runs the call at its site, and retries it there as far as that is allowed.
 func (f *Forwarder) runAtSite(ctx context.Context, t *attempts) exchanger.Result {
 	c := t.call
 	b := f.budgets.of(c.Service)
@@ -53,30 +53,30 @@
 	}
 }
 
-// try is the tries of one call.
+// attempts tracks all attempts of one call.
 type attempts struct {
 	call       *exchanger.Call
 	idempotent bool
 	started    bool
 	admitted   bool
 	attempted  map[registrar.Incarnation]bool
-	// mayHaveRun is that a try ended without telling.
+	// mayHaveRun means that an attempt ended with an unknown outcome.
 	mayHaveRun bool
 
-	// status is that of the answer, 0 for none.
+	// status is the status of the response, or 0 if there is none yet.
 	status int
-	// body is a long body, nil if there is none.
+	// body is the body if it is streamed, else nil.
 	body *prefixReader
-	// fingerprint stands for the call once it was asked for, sighting is what was known of it
-	// as a suspect before its latest try, and careful tells that it has crashed upstreams more
-	// than once.
+	// fingerprint is nil until it is computed. observation is what was known of the call as a
+	// suspect before its last attempt. isolated means that the call has crashed more than one
+	// upstream.
 	fingerprint *quarantiner.Fingerprint
 	observation quarantiner.Sighting
 	isolated    bool
 }
 
-// overallResult returns the result of all tries from that of the last: when it did not run,
-// an earlier one may have.
+// overallResult returns the result of the call given that of its last attempt: if that attempt
+// did not run, an earlier one may have.
 func (t *attempts) overallResult(r exchanger.Result) exchanger.Result {
 	if t.mayHaveRun && r.Outcome == exchanger.NotRun {
 		r.Outcome = exchanger.Unknown
@@ -84,7 +84,7 @@
 	return r
 }
 
-// trackProgress notes how far the call gets.
+// trackProgress wraps the call's callbacks and body to track its progress.
 func (t *attempts) trackProgress() {
 	if t.call.Body != nil {
 		t.body = &prefixReader{body: t.call.Body, readable: t.call.BodyReady}
@@ -104,8 +104,8 @@
 	}
 }
 
-// mayRetry tells whether the call may run once more: nothing was passed on, its
-// body is still there, and it did not run or may run twice.
+// mayRetry reports whether the call may be retried: nothing was forwarded in either direction,
+// and it either did not run or is idempotent.
 func (t *attempts) mayRetry(r exchanger.Result) bool {
 	if !t.untouched() {
 		return false
@@ -119,16 +119,15 @@
 	return false
 }
 
-// untouched tells whether the call is as it came: nothing of it was passed on either
-// way.
+// untouched reports whether neither a streamed body nor a response was forwarded yet.
 func (t *attempts) untouched() bool {
 	return !t.started && (t.call.Body == nil || !t.admitted)
 }
 
-// reachedUpstream tells whether a try cost an upstream anything. The budget of
-// retries protects upstreams; while they pass from one owner to another, requests
-// come to daemons that own them no more or not yet. When those tries counted too,
-// 27 to 64 of 100 requests sent at once were refused.
+// reachedUpstream reports whether an attempt cost an upstream anything, and so counts against
+// the retry budget, which protects upstreams. While upstreams pass from one owner to another,
+// requests reach daemons that no longer own them, or not yet. When those attempts counted as
+// well, 27 to 64 of 100 concurrent requests were refused.
 func reachedUpstream(r exchanger.Result) bool {
 	switch r.Reason {
 	case exchanger.ReasonNotOwner, exchanger.ReasonLinkDial, exchanger.ReasonStopping, exchanger.ReasonNoEntry:
@@ -137,7 +136,8 @@
 	return true
 }
 
-// retryable tells whether another try may fare better.
+// retryable reports whether an attempt that did not run for this reason may succeed elsewhere
+// or later.
 func retryable(r exchanger.Reason) bool {
 	switch r {
 	case exchanger.ReasonNotOwner, exchanger.ReasonLinkDial, exchanger.ReasonUpstreamDial,
@@ -152,7 +152,7 @@
 	return c.Deadline > 0 && f.Clock.Now() >= c.Deadline
 }
 
-// attemptOnce runs the call on the best candidate now.
+// attemptOnce runs the call once, on the best candidate at present.
 func (f *Forwarder) attemptOnce(ctx context.Context, t *attempts) exchanger.Result {
 	snapshot := f.Snapshot()
 	best, ok := f.chooseCandidate(ctx, snapshot, t)
@@ -169,14 +169,14 @@
 	return r
 }
 
-// record remembers that a daemon was tried. One whose upstream was not reached may be
-// tried again: it has taken that upstream out of use.
+// recordAttempt records that a daemon was asked. If its upstream could not be dialled, the
+// daemon may be asked again: it has taken that upstream out of use.
 func (t *attempts) recordAttempt(i registrar.Incarnation, r exchanger.Result) {
 	t.attempted[i] = r.Reason != exchanger.ReasonUpstreamDial
 }
 
-// chooseCandidate returns the daemon to run the call: this one while it has a slot free,
-// else the one known to have most, else one of the site that will choose.
+// chooseCandidate returns the daemon to run the call: this one while it has a free slot, else
+// the one known to have the most, else one of the site that will choose the owner.
 func (f *Forwarder) chooseCandidate(ctx context.Context, s *steerer.Snapshot, t *attempts) (candidate, bool) {
 	k := pooler.KeyOf(t.call)
 	serving := s.View.Serving(k.Site)
@@ -200,14 +200,15 @@
 	return f.chooseRelay(ctx, serving, t)
 }
 
-// candidate returns m if it is known to own upstreams of k.
+// candidate returns m as a candidate, and reports false if m is not known to own upstreams of
+// k.
 func (f *Forwarder) candidate(m registrar.Member, k pooler.Key) (candidate, bool) {
 	if m.Incarnation == f.Self().Incarnation {
 		free, slots := f.Owner.Free(k)
 		return candidate{free: free, slots: slots}, slots > 0
 	}
-	// A link that there is not yet is dialled, for the requests that follow: who
-	// is not linked to an owner would never use its slots.
+	// Peer dials a missing link, for the benefit of later requests: a daemon without a link to
+	// an owner would never use its slots.
 	p := f.Links.Peer(f.Base, m)
 	if !p.Prompt() {
 		return candidate{}, false
@@ -216,7 +217,7 @@
 	return candidate{peer: p, free: free, slots: slots}, slots > 0
 }
 
-// betterThan compares by free slots, and among the full by the wait to expect.
+// betterThan compares candidates by free slots or, if neither has any, by the expected wait.
 func (c candidate) betterThan(d candidate) bool {
 	if c.free > 0 || d.free > 0 {
 		return c.free > d.free
@@ -224,28 +225,28 @@
 	return c.free*d.slots > d.free*c.slots
 }
 
-// unresponsive tells whether m is known not to answer: its process is gone, or the link
-// stands but nothing comes back.
+// unresponsive reports whether m is known not to respond: its process has terminated, or the
+// link is up but nothing comes back.
 func (f *Forwarder) unresponsive(m registrar.Member) bool {
 	p := f.Links.Known(m.Incarnation)
 	return p != nil && (p.Gone() || p.Up() && !p.Prompt())
 }
 
-// chooseRelay picks a daemon at random that will choose the owner.
+// chooseRelay picks a random daemon of the site that will choose the owner.
 func (f *Forwarder) chooseRelay(ctx context.Context, serving []registrar.Member, t *attempts) (candidate, bool) {
 	if t.call.Relayed {
 		return candidate{}, false
 	}
-	var open []registrar.Member
+	var responsive []registrar.Member
 	for _, m := range serving {
 		if m.Incarnation != f.Self().Incarnation && !t.attempted[m.Incarnation] && !f.unresponsive(m) {
-			open = append(open, m)
+			responsive = append(responsive, m)
 		}
 	}
-	if len(open) == 0 {
+	if len(responsive) == 0 {
 		return candidate{}, false
 	}
-	m := open[rand.IntN(len(open))]
+	m := responsive[rand.IntN(len(responsive))]
 	p := f.Links.Peer(f.Base, m)
 	ctx, cancel := context.WithTimeout(ctx, linkTimeout.Duration())
 	defer cancel()
--- a/internal/request/forwarder/shed.go
+++ b/internal/request/forwarder/shed.go
@@ -10,17 +10,16 @@
 )
 
 const (
-	// DefaultMostInFlight is how many requests an entry may have at once. At 71
+	// DefaultMostInFlight is how many requests an entry may have in flight by default. At 71
 	// KB each that is 290 MB.
 	DefaultMostInFlight = 4096
 
-	// shedRetryAfter is when a caller that was shed should come back.
+	// shedRetryAfter is the Retry-After time of a shed request.
 	shedRetryAfter = timekeeper.Second
 )
 
-// classShare is which part of the requests an entry may have at once the requests of
-// a class may take it to. Exports stop first, so that they never keep a dock scan
-// out.
+// classShare returns the share of MostInFlight up to which requests of a class are accepted.
+// Exports are shed first, so that they never crowd out a dock scan.
 func classShare(c resolver.Class) float64 {
 	if c == resolver.ClassExport {
 		return 0.5
@@ -28,18 +27,18 @@
 	return 1
 }
 
-// shedIfFull refuses a request when the entry has too many of them for its class. It has
-// to be asked before the request costs anything.
+// shedIfFull refuses the request if the entry has too many in flight for the request's class,
+// and reports whether it did. It must be called before the request costs anything.
 func (x *exchange) shedIfFull() bool {
-	most := x.forwarder.MostInFlight
-	if most == 0 {
-		most = DefaultMostInFlight
+	limit := x.forwarder.MostInFlight
+	if limit == 0 {
+		limit = DefaultMostInFlight
 	}
-	have := x.forwarder.inFlight.Load()
-	if float64(have) <= float64(most)*classShare(x.service.Class) {
+	inFlight := x.forwarder.inFlight.Load()
+	if float64(inFlight) <= float64(limit)*classShare(x.service.Class) {
 		return false
 	}
 	r := exchanger.Refused(exchanger.ReasonEntryFull, shedRetryAfter)
-	x.refuse(http.StatusServiceUnavailable, r, fmt.Sprintf("%d requests here, of %d", have, most))
+	x.refuse(http.StatusServiceUnavailable, r, fmt.Sprintf("%d requests in flight, limit %d", inFlight, limit))
 	return true
 }
--- a/internal/request/quarantiner/pack.go
+++ b/internal/request/quarantiner/pack.go
@@ -29,7 +29,7 @@
 func Unpack(body []byte) (list []Suspect, err error) {
 	var m SuspectList
 	if err := proto.Unmarshal(body, &m); err != nil {
-		return nil, eris.Wrap(err, "decoding suspects")
+		return nil, eris.Wrap(err, "decode suspects")
 	}
 	for n := range min(len(m.Fingerprints), len(m.Clearings), len(m.Crashes), len(m.AgeMillis)) {
 		s := Suspect{Clearings: m.Clearings[n], Crashes: m.Crashes[n], Age: timekeeper.Millis(m.AgeMillis[n])}
