--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -109,8 +109,8 @@
 	return f.Quarantine != nil && f.Quarantine.HasSuspects()
 }
 
-// refuseQuarantined returns a refusal for a call, and whether the call is in quarantine.
-func (f *Forwarder) refuseQuarantined(t *attempts) (exchanger.Result, bool) {
+// quarantined returns a refusal for a call, and whether the call is in quarantine.
+func (f *Forwarder) quarantined(t *attempts) (exchanger.Result, bool) {
 	if !f.anySuspects() {
 		return exchanger.Result{}, false
 	}
--- a/internal/request/forwarder/route.go
+++ b/internal/request/forwarder/route.go
@@ -36,7 +36,7 @@
 	b := f.budgets.of(c.Service)
 	t.attempted = map[registrar.Incarnation]bool{}
 	for n := 1; ; n++ {
-		if r, barred := f.refuseQuarantined(t); barred {
+		if r, quarantined := f.quarantined(t); quarantined {
 			return r
 		}
 		r := f.attemptOnce(ctx, t)
--- a/internal/request/forwarder/shed.go
+++ b/internal/request/forwarder/shed.go
@@ -34,11 +34,11 @@
 	if limit == 0 {
 		limit = DefaultMostInFlight
 	}
-	inFlight := x.forwarder.inFlight.Load()
-	if float64(inFlight) <= float64(limit)*classShare(x.service.Class) {
+	current := x.forwarder.inFlight.Load()
+	if float64(current) <= float64(limit)*classShare(x.service.Class) {
 		return false
 	}
 	r := exchanger.Refused(exchanger.ReasonEntryFull, shedRetryAfter)
-	x.refuse(http.StatusServiceUnavailable, r, fmt.Sprintf("%d requests in flight, limit %d", inFlight, limit))
+	x.refuse(http.StatusServiceUnavailable, r, fmt.Sprintf("%d requests in flight, limit %d", current, limit))
 	return true
 }
