--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -93,11 +93,11 @@
 	}
 	body := t.call.Short
 	if t.body != nil {
-		first, whole := t.body.prefix()
+		prefix, whole := t.body.prefix()
 		if !whole {
 			return quarantiner.Fingerprint{}, false
 		}
-		body = first
+		body = prefix
 	}
 	f := fingerprint(t.call, body)
 	t.fingerprint = &f
