--- a/internal/request/dispatcher/dispatcher_test.go
+++ b/internal/request/dispatcher/dispatcher_test.go
@@ -185,8 +185,8 @@
 	for _, kind := range []matcher.Kind{matcher.Once, matcher.Idempotent} {
 		is := is.New(t)
 		s := newHarness(t, kind)
-		var told []cataloger.Incarnation
-		s.Ended = func(i cataloger.Incarnation) { told = append(told, i) }
+		var reported []cataloger.Incarnation
+		s.Ended = func(i cataloger.Incarnation) { reported = append(reported, i) }
 		var n atomic.Int64
 		serve := func(w http.ResponseWriter, r *http.Request) {
 			if n.Add(1) <= 2 {
@@ -201,7 +201,7 @@
 		p, _ := s.do(http.MethodPost, "id", nil)
 		is.Equal(p.StatusCode, http.StatusOK)
 		is.Equal(s.ran("id"), 3)
-		is.Equal(len(told), 2)
+		is.Equal(len(reported), 2)
 
 		s.burst = 0
 		n.Store(0)
@@ -229,15 +229,15 @@
 func TestRefusalNamesTheFirstChoice(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, matcher.Once)
-	var told dispatcher.Decision
-	s.Decided = func(d *dispatcher.Decision) { told = *d }
+	var decision dispatcher.Decision
+	s.Decided = func(d *dispatcher.Decision) { decision = *d }
 	s.catalog.Put(cataloger.Upstream{ID: "cold", Service: "s", Address: "127.0.0.1:1", Site: "east/a", Slots: 4, ColdUntil: s.Clock.Now() + 60_000})
 	p, _ := s.do(http.MethodPost, "id", nil)
 	is.Equal(p.StatusCode, http.StatusServiceUnavailable)
-	is.Equal(told.Upstream, cataloger.UpstreamID("cold"))
-	is.Equal(string(told.Site), "east/a")
-	is.Equal(told.Reason, "cold")
-	is.Equal(told.Outcome, "not-run")
+	is.Equal(decision.Upstream, cataloger.UpstreamID("cold"))
+	is.Equal(string(decision.Site), "east/a")
+	is.Equal(decision.Reason, "cold")
+	is.Equal(decision.Outcome, "not-run")
 }
 
 // TestRefusedRequestStaysAtHome has the key's home refuse a request once. If the home reports
--- a/internal/request/dispatcher/placement_test.go
+++ b/internal/request/dispatcher/placement_test.go
@@ -18,34 +18,34 @@
 	is := is.New(t)
 	s := newHarness(t, matcher.Idempotent)
 	s.Homes = &assigner.Assigner{Region: "east", Regions: []string{"east"}}
-	var told dispatcher.Decision
-	s.Decided = func(d *dispatcher.Decision) { told = *d }
+	var decision dispatcher.Decision
+	s.Decided = func(d *dispatcher.Decision) { decision = *d }
 	placed := func(key string) string {
 		_, _ = s.do(http.MethodGet, "id", func(r *http.Request) { r.Header.Set(fields.Key, key) })
-		return told.Placement.Kind()
+		return decision.Placement.Kind()
 	}
 	for _, id := range []string{"u1", "u2", "u3"} {
 		s.add(t, id, succeeds)
 	}
 	is.Equal(placed(""), "no key")
 	is.Equal(placed("keg"), "new key")
-	first := told.Upstream
+	first := decision.Upstream
 	is.Equal(placed("keg"), "home")
-	is.Equal(told.Upstream, first)
-	is.True(told.Bytes > int64(len("body")+len("good"))) // plus two heads
+	is.Equal(decision.Upstream, first)
+	is.True(decision.Bytes > int64(len("body")+len("good"))) // plus two heads
 
 	s.catalog.Remove(first)
 	is.Equal(placed("keg"), "home gone")
-	is.Equal(told.Placement.Left.ID, first)
-	second := told.Upstream
+	is.Equal(decision.Placement.Left.ID, first)
+	second := decision.Upstream
 	is.Equal(placed("keg"), "home")
-	is.Equal(told.Placement.Left, nil)
+	is.Equal(decision.Placement.Left, nil)
 
 	s.add(t, string(first), succeeds)
 	s.catalog.Remove(second)
 	is.Equal(placed("keg"), "home gone, former home")
-	is.Equal(told.Upstream, first)
-	is.Equal(told.Placement.Left.ID, second)
+	is.Equal(decision.Upstream, first)
+	is.Equal(decision.Placement.Left.ID, second)
 
 	text := s.metrics()
 	is.True(strings.Contains(text, `gullvale_placements{class="idempotent",kind="home",service="s"} 2`))
@@ -57,17 +57,17 @@
 	is := is.New(t)
 	s := newHarness(t, matcher.Idempotent)
 	s.Homes = &assigner.Assigner{Region: "east", Regions: []string{"east"}}
-	var told dispatcher.Decision
-	s.Decided = func(d *dispatcher.Decision) { told = *d }
+	var decision dispatcher.Decision
+	s.Decided = func(d *dispatcher.Decision) { decision = *d }
 	s.add(t, "u1", abortsConnection)
 	_, _ = s.do(http.MethodGet, "first", nil)
-	is.Equal(told.Placement.Reason, assigner.NotPlaced) // broken off, and no other upstream
+	is.Equal(decision.Placement.Reason, assigner.NotPlaced) // broken off, and no other upstream
 	s.add(t, "u2", succeeds)
 	_, _ = s.do(http.MethodGet, "second", nil)
-	is.Equal(told.Outcome, "answered")
-	is.Equal(told.Upstream, cataloger.UpstreamID("u2"))
-	is.Equal(told.Tries, 2)
-	is.Equal(told.Placement.Reason, assigner.Repeated)
+	is.Equal(decision.Outcome, "answered")
+	is.Equal(decision.Upstream, cataloger.UpstreamID("u2"))
+	is.Equal(decision.Tries, 2)
+	is.Equal(decision.Placement.Reason, assigner.Repeated)
 }
 
 // TestPlacementBesideTheHome has the key's home turn cold. Its requests run elsewhere, the
@@ -76,20 +76,20 @@
 	is := is.New(t)
 	s := newHarness(t, matcher.Idempotent)
 	s.Homes = &assigner.Assigner{Region: "east", Regions: []string{"east"}}
-	var told dispatcher.Decision
-	s.Decided = func(d *dispatcher.Decision) { told = *d }
+	var decision dispatcher.Decision
+	s.Decided = func(d *dispatcher.Decision) { decision = *d }
 	s.add(t, "u1", succeeds)
 	_, _ = s.do(http.MethodGet, "id", nil)
-	is.Equal(told.Placement.Kind(), "new key")
+	is.Equal(decision.Placement.Kind(), "new key")
 	home, _ := s.catalog.Known("u1")
 	home.ColdUntil = s.Clock.Now() + 60_000
 	s.catalog.Put(home)
 	s.add(t, "u2", succeeds)
 	for _, want := range []string{"home passed over", "home passed over, former home"} {
 		_, _ = s.do(http.MethodGet, "id", nil)
-		is.Equal(told.Placement.Kind(), want)
-		is.Equal(told.Upstream, cataloger.UpstreamID("u2"))
-		is.Equal(told.Placement.Left, nil)
+		is.Equal(decision.Placement.Kind(), want)
+		is.Equal(decision.Upstream, cataloger.UpstreamID("u2"))
+		is.Equal(decision.Placement.Left, nil)
 	}
 }
 
@@ -98,10 +98,10 @@
 	is := is.New(t)
 	s := newHarness(t, matcher.Once)
 	s.Homes = &assigner.Assigner{Region: "east", Regions: []string{"east"}}
-	var told dispatcher.Decision
-	s.Decided = func(d *dispatcher.Decision) { told = *d }
+	var decision dispatcher.Decision
+	s.Decided = func(d *dispatcher.Decision) { decision = *d }
 	s.add(t, "u1", firstOf(refuses, succeeds))
 	_, _ = s.do(http.MethodPost, "id", nil)
-	is.Equal(told.Tries, 2)
-	is.Equal(told.Placement.Kind(), "repeat there")
+	is.Equal(decision.Tries, 2)
+	is.Equal(decision.Placement.Kind(), "repeat there")
 }
--- a/internal/request/forwarder/budget.go
+++ b/internal/request/forwarder/budget.go
@@ -18,6 +18,7 @@
 		services sync.Map
 	}
 
+	// budget is the token bucket of one service.
 	budget struct {
 		lock        sync.Mutex
 		tokens      float64
--- a/internal/request/forwarder/detour.go
+++ b/internal/request/forwarder/detour.go
@@ -35,6 +35,8 @@
 		sites map[pooler.Key]siteBackOff
 	}
 
+	// siteBackOff is the state of one site: it is avoided until until, and delay is the
+	// current delay.
 	siteBackOff struct {
 		until timekeeper.Millis
 		delay timekeeper.Millis
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -126,8 +126,8 @@
 	f.Snapshot = func() *steerer.Snapshot { return snapshot }
 	f.Links = &linker.Manager{Self: f.Self}
 	for _, m := range []registrar.Member{former, owner} {
-		for told := 0; told == 0; {
-			_, told = f.Links.Peer(t.Context(), m).Free(pooler.Key{Site: site, Service: service})
+		for slots := 0; slots == 0; {
+			_, slots = f.Links.Peer(t.Context(), m).Free(pooler.Key{Site: site, Service: service})
 		}
 	}
 	const requests = 100
--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -15,7 +15,7 @@
 type prefixReader struct {
 	body io.Reader
 	// readable means that the body may be read before a slot is held. The body of a call that
-	// came over a link is sent only after that.
+	// came over a link arrives only once a slot is held.
 	readable bool
 
 	lock sync.Mutex
@@ -131,15 +131,15 @@
 	if f.Quarantine == nil {
 		return
 	}
-	ended := r.Reason == exchanger.ReasonUpstreamEnded
+	crashed := r.Reason == exchanger.ReasonUpstreamEnded
 	innocent := r.Outcome == exchanger.Answered && r.Whole && t.status < http.StatusInternalServerError
-	if !ended && (!innocent || !f.Quarantine.HasSuspects()) {
+	if !crashed && (!innocent || !f.Quarantine.HasSuspects()) {
 		return
 	}
 	known, ok := t.callFingerprint()
 	switch {
 	case !ok:
-	case ended:
+	case crashed:
 		t.observation.Fingerprint = known
 		t.isolated = f.Quarantine.Crashed(t.observation).Isolated()
 	default:
