--- a/internal/request/forwarder/detour.go
+++ b/internal/request/forwarder/detour.go
@@ -35,8 +35,7 @@
 		sites map[pooler.Key]siteBackOff
 	}
 
-	// siteBackOff is the state of one site: it is avoided until until, and delay is the
-	// current delay.
+	// siteBackOff holds the end of a site's current back-off and its length.
 	siteBackOff struct {
 		until timekeeper.Millis
 		delay timekeeper.Millis
