--- a/internal/request/forwarder/answer.go
+++ b/internal/request/forwarder/answer.go
@@ -11,7 +11,7 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// Refusal is the body of an answer that the entry gives itself.
+// Refusal is the body of a response that the entry itself gives.
 type Refusal struct {
 	Outcome          string
 	Reason           string
@@ -19,8 +19,8 @@
 	RetryAfterMillis timekeeper.Millis
 }
 
-// start passes the head of an upstream's answer on.
-func (x *exchange) start(a exchanger.Answer) error {
+// writeHead forwards the status and header of an upstream's response.
+func (x *exchange) writeHead(a exchanger.Answer) error {
 	h := x.writer.Header()
 	RemoveHop(a.Header)
 	for n, v := range a.Header {
@@ -35,38 +35,37 @@
 	if x.forwarder.Leaving() {
 		h.Set("Connection", "close")
 	}
-	x.flush = a.Length < 0
+	x.flushEachWrite = a.Length < 0
 	x.started = true
 	x.writer.WriteHeader(a.Status)
 	return nil
 }
 
-func (x *exchange) write(p []byte) error {
+func (x *exchange) writeBody(p []byte) error {
 	n, err := x.writer.Write(p)
 	x.written += int64(n)
 	if err != nil {
 		return err
 	}
-	if x.flush {
+	if x.flushEachWrite {
 		return http.NewResponseController(x.writer).Flush()
 	}
 	return nil
 }
 
-func (x *exchange) trailer(t http.Header) {
+func (x *exchange) writeTrailer(t http.Header) {
 	for n, v := range t {
 		x.writer.Header()[http.TrailerPrefix+n] = v
 	}
 }
 
-// finish ends the exchange as the result says.
+// finish completes the exchange according to the result.
 func (x *exchange) finish(r exchanger.Result) {
 	x.observe(r)
 	if x.started {
 		if !r.Whole {
-			// Closing the connection is how HTTP/1.1 says that an answer is
-			// broken. What there is of it goes first: without its head the
-			// caller could not tell a broken answer from none.
+			// HTTP/1.1 signals an incomplete response by closing the connection. Flush first:
+			// without the head the caller could not tell an incomplete response from none.
 			_ = http.NewResponseController(x.writer).Flush()
 			panic(http.ErrAbortHandler)
 		}
@@ -134,7 +133,7 @@
 		l.Class = string(x.service.Class)
 	}
 	m := x.forwarder.Meter
-	m.Observe("request_seconds", l, time.Since(x.began))
+	m.Observe("request_seconds", l, time.Since(x.arrivedAt))
 	if r.Reason != exchanger.ReasonNone {
 		l.Kind = string(r.Reason)
 		m.Count("request_reasons", l)
--- a/internal/request/quarantiner/quarantiner_test.go
+++ b/internal/request/quarantiner/quarantiner_test.go
@@ -10,9 +10,9 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// world is a fleet of daemons with one clock. What one finds out waits in its outbox until it
-// is told.
-type world struct {
+// fleet is a set of daemons that share a clock. What a daemon observes waits in its outbox
+// until deliver is called.
+type fleet struct {
 	now     timekeeper.Millis
 	daemons []*daemon
 }
@@ -22,8 +22,8 @@
 	outbox []quarantiner.Suspect
 }
 
-func newWorld(daemons int) *world {
-	w := &world{now: 1000}
+func newFleet(daemons int) *fleet {
+	w := &fleet{now: 1000}
 	for range daemons {
 		d := &daemon{}
 		d.Quarantiner = &quarantiner.Quarantiner{
@@ -35,8 +35,8 @@
 	return w
 }
 
-// tell delivers what waits.
-func (w *world) tell() {
+// deliver sends the contents of each outbox to all daemons.
+func (w *fleet) deliver() {
 	for _, d := range w.daemons {
 		for _, o := range w.daemons {
 			o.Learn(d.outbox)
@@ -45,13 +45,13 @@
 	}
 }
 
-func printOf(n int) quarantiner.Fingerprint {
+func fingerprintOf(n int) quarantiner.Fingerprint {
 	return quarantiner.Content{Target: fmt.Sprint("/", n)}.Fingerprint()
 }
 
-var deadly = printOf(0)
+var crashing = fingerprintOf(0)
 
-// crash runs the deadly request at a daemon, if that lets it through.
+// crash runs a request that crashes its upstream, unless the daemon refuses it.
 func (d *daemon) crash(f quarantiner.Fingerprint) bool {
 	s := d.Look(f, quarantiner.Sighting{})
 	if s.Barred {
@@ -61,124 +61,126 @@
 	return true
 }
 
-func (d *daemon) barred(f quarantiner.Fingerprint) bool {
+func (d *daemon) refused(f quarantiner.Fingerprint) bool {
 	return d.Look(f, quarantiner.Sighting{}).Barred
 }
 
-// TestThirdCrashBarsEverywhere has one run at each of three daemons.
+// TestThirdCrashBarsEverywhere has one crash at each of three daemons, which quarantines the
+// request at all.
 func TestThirdCrashBarsEverywhere(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(5)
+	w := newFleet(5)
 	for n := range 3 {
-		is.True(w.daemons[n].crash(deadly))
-		w.tell()
+		is.True(w.daemons[n].crash(crashing))
+		w.deliver()
 	}
 	for _, d := range w.daemons {
-		s := d.Look(deadly, quarantiner.Sighting{})
+		s := d.Look(crashing, quarantiner.Sighting{})
 		is.True(s.Barred)
 		is.Equal(s.After, 2*timekeeper.Minute)
-		is.True(!d.barred(printOf(1))) // another request
+		is.True(!d.refused(fingerprintOf(1))) // another request
 		is.Equal(d.Digest(), w.daemons[0].Digest())
 	}
 }
 
-// TestRunsAtOnceCountAsOne has a popular request run at six upstreams that end at once: none
-// of the runs began after another had ended.
+// TestRunsAtOnceCountAsOne runs a popular request at six upstreams that terminate at once:
+// none of the runs started after another one had crashed.
 func TestRunsAtOnceCountAsOne(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3)
+	w := newFleet(3)
 	for range 4 {
 		var begun []quarantiner.Sighting
 		for n := range 6 {
-			begun = append(begun, w.daemons[n%3].Look(deadly, quarantiner.Sighting{}))
+			begun = append(begun, w.daemons[n%3].Look(crashing, quarantiner.Sighting{}))
 		}
 		for n, s := range begun {
 			is.True(!s.Barred)
 			w.daemons[n%3].Crashed(s)
-			w.tell()
+			w.deliver()
 		}
-		is.True(!w.daemons[0].barred(deadly))
-		w.daemons[1].Answered(deadly) // it is served elsewhere
-		w.tell()
+		is.True(!w.daemons[0].refused(crashing))
+		w.daemons[1].Answered(crashing) // an upstream elsewhere responds
+		w.deliver()
 	}
-	is.True(!w.daemons[2].Any())
+	is.True(!w.daemons[2].HasSuspects())
 }
 
-// TestAnswerClears has a suspect be answered at one daemon after two crashes.
+// TestAnswerClears has one daemon get a response to a suspect after two crashes.
 func TestAnswerClears(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2)
+	w := newFleet(2)
 	for range 2 {
-		w.daemons[0].crash(deadly)
+		w.daemons[0].crash(crashing)
 	}
 	stale := w.daemons[0].All()
-	before := w.daemons[0].Look(deadly, quarantiner.Sighting{})
-	w.tell()
-	w.daemons[1].Answered(deadly)
-	w.tell()
-	is.True(!w.daemons[0].Any())
-	// One that missed the clearing is told of it.
+	before := w.daemons[0].Look(crashing, quarantiner.Sighting{})
+	w.deliver()
+	w.daemons[1].Answered(crashing)
+	w.deliver()
+	is.True(!w.daemons[0].HasSuspects())
+	// A daemon that missed the clearing is sent it.
 	_, newer := w.daemons[0].Learn(stale)
 	is.Equal(len(newer), 1)
-	is.True(!w.daemons[0].Any())
-	// A run that began before counts as the first one since.
+	is.True(!w.daemons[0].HasSuspects())
+	// A crash of a run that started before the clearing counts as the first one since.
 	is.Equal(w.daemons[0].Crashed(before).Crashes, uint32(1))
 }
 
-// TestQuarantineIsTriedByOne lets the time of a quarantine pass. One daemon lets the request
-// through once, and its crash makes the time four times as long for all.
+// TestQuarantineIsTriedByOne lets the quarantine period pass. One daemon lets the request
+// through once, and its crash makes the period four times as long for all.
 func TestQuarantineIsTriedByOne(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3)
+	w := newFleet(3)
 	for n, d := range w.daemons {
 		d.MayTry = func(quarantiner.Fingerprint, timekeeper.Millis) bool { return n == 1 }
 	}
 	for range 3 {
-		w.daemons[0].crash(deadly)
+		w.daemons[0].crash(crashing)
 	}
-	w.tell()
+	w.deliver()
 	w.now += 2*timekeeper.Minute - 1
 	for _, d := range w.daemons {
-		is.True(d.barred(deadly))
+		is.True(d.refused(crashing))
 	}
 	w.now++
-	is.True(w.daemons[0].barred(deadly))
-	s := w.daemons[1].Look(deadly, quarantiner.Sighting{})
+	is.True(w.daemons[0].refused(crashing))
+	s := w.daemons[1].Look(crashing, quarantiner.Sighting{})
 	is.True(s.Trial && !s.Barred)
-	is.True(w.daemons[1].barred(deadly))          // while it is under way
-	is.True(!w.daemons[1].Look(deadly, s).Barred) // for the one that was let through
+	is.True(w.daemons[1].refused(crashing))         // while the trial is running
+	is.True(!w.daemons[1].Look(crashing, s).Barred) // for the request that was let through
 	is.Equal(w.daemons[1].Crashed(s).Crashes, uint32(4))
-	is.True(w.daemons[1].Look(deadly, s).Barred) // not for another sending
-	w.tell()
-	is.Equal(w.daemons[2].Look(deadly, quarantiner.Sighting{}).After, 8*timekeeper.Minute)
+	is.True(w.daemons[1].Look(crashing, s).Barred) // not for another attempt
+	w.deliver()
+	is.Equal(w.daemons[2].Look(crashing, quarantiner.Sighting{}).After, 8*timekeeper.Minute)
 
 	w.now += 8 * timekeeper.Minute
-	is.True(w.daemons[1].Look(deadly, quarantiner.Sighting{}).Trial)
-	w.daemons[1].Answered(deadly)
-	w.tell()
+	is.True(w.daemons[1].Look(crashing, quarantiner.Sighting{}).Trial)
+	w.daemons[1].Answered(crashing)
+	w.deliver()
 	for _, d := range w.daemons {
-		is.True(!d.barred(deadly))
+		is.True(!d.refused(crashing))
 	}
 }
 
-// TestSuspectsAreBounded has thousands of requests crash an upstream each, or three.
+// TestSuspectsAreBounded has thousands of requests crash one upstream each, and hundreds crash
+// three.
 func TestSuspectsAreBounded(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1)
+	w := newFleet(1)
 	d := w.daemons[0]
 	for range 3 {
-		d.crash(deadly)
+		d.crash(crashing)
 	}
 	for n := range 2000 {
 		w.now++
-		d.crash(printOf(n + 1))
+		d.crash(fingerprintOf(n + 1))
 	}
-	is.True(d.barred(deadly))
+	is.True(d.refused(crashing))
 	is.Equal(len(d.All()), quarantiner.MaxSuspects/2+1)
 	for n := range 600 {
 		w.now++
 		for range 3 {
-			d.crash(printOf(n + 5000))
+			d.crash(fingerprintOf(n + 5000))
 		}
 	}
 	held := 0
@@ -189,43 +191,44 @@
 	}
 	is.Equal(held, quarantiner.MaxSuspects/2)
 	is.True(len(d.All()) <= quarantiner.MaxSuspects)
-	is.True(!d.barred(deadly)) // the oldest
-	is.True(d.barred(printOf(5599)))
-	is.True(d.crash(printOf(9999))) // room for new ones
-	is.Equal(d.Look(printOf(9999), quarantiner.Sighting{}).Crashes, uint32(1))
+	is.True(!d.refused(crashing)) // the oldest
+	is.True(d.refused(fingerprintOf(5599)))
+	is.True(d.crash(fingerprintOf(9999))) // there is room for new suspects
+	is.Equal(d.Look(fingerprintOf(9999), quarantiner.Sighting{}).Crashes, uint32(1))
 }
 
 // TestSuspectsExpire lets time pass without another crash.
 func TestSuspectsExpire(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2)
+	w := newFleet(2)
 	d := w.daemons[0]
-	d.crash(printOf(1))
+	d.crash(fingerprintOf(1))
 	for range 3 {
-		d.crash(deadly)
+		d.crash(crashing)
 	}
 	w.now += 5*timekeeper.Minute + 1
 	is.Equal(len(d.All()), 1)
-	is.True(d.All()[0].Quarantined()) // though its time is over
+	is.True(d.All()[0].Quarantined()) // although its period is over
 	w.daemons[1].Learn(d.All())
 	w.now += 6 * timekeeper.Hour
 	is.Equal(len(d.All()), 0)
-	is.True(!w.daemons[1].barred(deadly))
+	is.True(!w.daemons[1].refused(crashing))
 	is.Equal(d.Digest(), uint64(0))
 }
 
-// BenchmarkLook is a request beside a few suspects; without any, Any is asked only.
+// BenchmarkLook measures a request beside a few suspects. Without suspects, only HasSuspects
+// is called.
 func BenchmarkLook(b *testing.B) {
-	w := newWorld(1)
+	w := newFleet(1)
 	for n := range 5 {
-		w.daemons[0].crash(printOf(n))
+		w.daemons[0].crash(fingerprintOf(n))
 	}
 	for b.Loop() {
-		w.daemons[0].Look(deadly, quarantiner.Sighting{})
+		w.daemons[0].Look(crashing, quarantiner.Sighting{})
 	}
 }
 
-// BenchmarkFingerprint is a request with a body of 4 KB.
+// BenchmarkFingerprint measures a request with a body of 4 KB.
 func BenchmarkFingerprint(b *testing.B) {
 	body := make([]byte, 4<<10)
 	for b.Loop() {
@@ -233,20 +236,21 @@
 	}
 }
 
-// TestTurn gives each of several daemons a turn, one at a time.
+// TestTurn checks that exactly one of several daemons has a turn at any time, and that all get
+// the same number of turns.
 func TestTurn(t *testing.T) {
 	is := is.New(t)
 	all := []string{"a", "b", "c", "d"}
 	turns := map[string]int{}
-	for over := timekeeper.Millis(0); over < 8*quarantiner.TrialTime; over += quarantiner.TrialTime / 2 {
-		whose := 0
+	for over := timekeeper.Millis(0); over < 8*quarantiner.TrialInterval; over += quarantiner.TrialInterval / 2 {
+		holders := 0
 		for _, name := range all {
-			if quarantiner.Turn(deadly, over, name, all) {
+			if quarantiner.Turn(crashing, over, name, all) {
 				turns[name]++
-				whose++
+				holders++
 			}
 		}
-		is.Equal(whose, 1)
+		is.Equal(holders, 1)
 	}
 	for _, name := range all {
 		is.Equal(turns[name], 4)
