--- a/internal/request/placer/doc.go
+++ b/internal/request/placer/doc.go
@@ -1,12 +1,12 @@
-// Package placer decides where a request goes: which few upstreams a key has,
-// which of them takes the request now, and when none should.
+// Package placer selects the upstream for a request: it ranks the few candidate upstreams of a
+// key and decides which of them takes the request now, if any.
 //
-// It answers the load of keyed requests on upstreams that remember the keys they
-// ran lately and are several times slower on any other. There, sending a request
-// to an upstream that does not know its key, since the one that does is busy,
-// costs a multiple of the work and pushes other keys out of memory: overload then
-// feeds itself and stays when its cause is over. So a key has a short list, waits
-// in the line of the first upstream up to a bound, and is refused beyond the list.
+// It is built for keyed requests on upstreams that cache the keys they ran recently and are
+// several times slower on any other. Sending a request to an upstream that does not know its
+// key, because the one that does is busy, multiplies the work and evicts other keys from that
+// upstream's cache, so an overload sustains itself after its cause is gone. A key therefore
+// has a short candidate list, queues at the first upstream up to a bound, and is refused when
+// no candidate takes it.
 //
-// Everything here is pure: no clock, no network, no state.
+// All functions are pure: they use no clock, network or state.
 package placer
--- a/internal/request/placer/place.go
+++ b/internal/request/placer/place.go
@@ -7,118 +7,124 @@
 )
 
 const (
-	// ListLength is how many upstreams a key has. Without a bound an overload spreads keys
-	// to upstreams that do not know them, whose work grows, and service does not recover.
+	// ListLength is the maximum number of candidate upstreams of a key. Without a bound, an
+	// overload spreads keys to upstreams that do not know them, whose work grows, and the
+	// service does not recover.
 	ListLength = 3
 
-	// lineShare is how many requests, running and waiting, an upstream may
-	// report before another one is asked, in parts of its slots: waiting there takes less
-	// than the full work of a key that the other one does not know.
-	lineShare = 2.5
-
-	// betterShare is the part of the first choice's share of failures that another
-	// upstream may have at most to be taken in its place. Where all upstreams of a
-	// service refuse half of what they get, their shares differ by chance only, and a key
-	// that leaves for another one is slower there.
-	betterShare = 0.5
-
-	// knownFailShare is the share of refusals from which an upstream is passed over that knows
-	// the request's key: above it, even a late answer of another one is worth more.
-	knownFailShare = 0.7
-
-	// idleShare is how many requests an upstream may have at most for a key to
-	// move there from a full one, in parts of its slots.
-	idleShare = 0.5
-
-	// laterShare is lineShare for requests that are not the most urgent of
-	// their service, so that the urgent ones find room when slots are short.
-	laterShare = 2.0
+	// urgentQueueFactor is the number of running and waiting requests, as a multiple of its
+	// slots, that an upstream may report before the next candidate is considered. Waiting that
+	// long takes less time than running the key on an upstream that does not know it.
+	urgentQueueFactor = 2.5
+
+	// failShareRatio is the maximum failure share of another upstream, relative to that of the
+	// first choice, for it to replace a failing first choice. When all upstreams of a service
+	// refuse half of their requests, their shares differ only by chance, and a key that leaves
+	// for another upstream is slower there.
+	failShareRatio = 0.5
+
+	// maxKnownFailShare is the failure share from which an upstream that knows the request's
+	// key is passed over even if it only refuses: above it, a late response of another
+	// upstream is worth more.
+	maxKnownFailShare = 0.7
+
+	// idleFactor is the number of requests, as a multiple of its slots, below which an
+	// upstream counts as idle, so that a key may move there from a full one.
+	idleFactor = 0.5
+
+	// normalQueueFactor replaces urgentQueueFactor for requests below the most urgent rank of
+	// their service, which leaves room for urgent ones when slots are scarce.
+	normalQueueFactor = 2.0
 )
 
-// The reasons for passing an upstream over.
+// The reasons for passing over an upstream.
 const (
-	Fit     Verdict = ""
-	Gone    Verdict = "gone"
-	Down    Verdict = "down"
-	Failing Verdict = "failing"
-	Cold    Verdict = "cold"
-	Line    Verdict = "line"
-	Tried   Verdict = "tried"
+	Fit       Verdict = ""
+	Gone      Verdict = "gone"
+	Down      Verdict = "down"
+	Failing   Verdict = "failing"
+	Cold      Verdict = "cold"
+	QueueFull Verdict = "line"
+	Attempted Verdict = "tried"
 )
 
 type (
-	// Placer judges upstreams. The zero value has every mechanism.
+	// Placer checks upstreams. The zero value enables all mechanisms.
 	Placer struct {
-		// Without are the mechanisms that are off.
+		// Without is the set of disabled mechanisms.
 		Without switcher.Set
 	}
 
-	// Verdict says why an upstream does not take a request; Fit is none.
+	// Verdict is the reason an upstream does not take a request, or Fit if it does.
 	Verdict string
 
-	// State is what one daemon knows of an upstream at the moment of choice.
+	// State is what one daemon knows about an upstream when it selects one.
 	State struct {
 		Slots int
-		// Own is how many requests this daemon has there.
+		// Own is the number of requests this daemon has at the upstream.
 		Own int
-		// Reported is how many run and wait there, as far as it is known: Own at least.
+		// Reported is the estimated number of running and waiting requests at the upstream, at
+		// least Own.
 		Reported float64
-		// Gone tells that its address answers for another incarnation.
+		// Gone reports that another incarnation now responds at the upstream's address.
 		Gone bool
-		// Down tells that it was not reached lately.
+		// Down reports that the upstream was recently unreachable.
 		Down bool
-		// Failing tells that it fails too many requests and that it is not
-		// time to try it again.
+		// Failing reports that the upstream fails or refuses too many requests and is not due
+		// for a probe request.
 		Failing bool
-		// FailShare is the running share of requests that it failed or refused.
+		// FailShare is the moving average of the share of requests that it failed or refused.
 		FailShare float64
-		// BreakShare is that of requests that it failed and did not refuse.
+		// BreakShare is the moving average of the share of requests that it failed, without
+		// refusals.
 		BreakShare float64
-		// Knows tells that it ran the request's key lately, and works faster on it.
+		// Knows reports that the upstream recently ran the request's key, and so runs it
+		// faster.
 		Knows bool
-		// Cold tells that its rate while cold is used up.
+		// Cold reports that the upstream is warming up and its request rate is used up.
 		Cold bool
-		// Tried tells that this request was sent there before.
+		// Tried reports that this request already had an attempt at the upstream.
 		Tried bool
 	}
 )
 
-// full tells that an upstream was passed over since it has too much to do.
-func (v Verdict) full() bool {
-	return v == Line
+// overloaded reports whether the upstream was passed over because its queue is full.
+func (v Verdict) overloaded() bool {
+	return v == QueueFull
 }
 
-// Reachable tells whether nothing is known that keeps requests from the upstream.
+// Reachable reports whether the upstream can take an attempt: it is neither gone nor down and
+// had none for this request.
 func (s State) Reachable() bool {
 	return !s.Gone && !s.Down && !s.Tried
 }
 
-// spared tells whether the upstream fails or refuses so many requests that others should get
-// them. A refusal costs little: one that knows the key is worth more then than another one,
-// where its run would be late.
-func (s State) spared() bool {
-	refuses := s.BreakShare < s.FailShare*betterShare
-	return s.Failing && !(s.Knows && refuses && s.FailShare < knownFailShare)
+// excluded reports whether the upstream fails or refuses so many requests that other upstreams
+// should get them. A refusal costs little, so an upstream that knows the key and mostly
+// refuses stays preferable to one where the request would be late.
+func (s State) excluded() bool {
+	refuses := s.BreakShare < s.FailShare*failShareRatio
+	return s.Failing && !(s.Knows && refuses && s.FailShare < maxKnownFailShare)
 }
 
-// idle tells whether an upstream has room for a key that it does not know, whose
-// requests take several times as long at first.
+// idle reports whether the upstream has room for a key that it does not know, whose first
+// requests take several times as long.
 func (s State) idle() bool {
-	return s.Reported < idleShare*float64(max(s.Slots, 1))
+	return s.Reported < idleFactor*float64(max(s.Slots, 1))
 }
 
-// List appends to l the upstreams that a key prefers, best first: the rendezvous
-// order of those that allowed takes. An upstream that comes or goes moves only
-// its own keys.
-func List(l []*cataloger.Upstream, key hasher.Hash, all []*cataloger.Upstream, allowed func(region string) bool) []*cataloger.Upstream {
+// Candidates appends to l the preferred upstreams of a key, best first: the rendezvous-hash
+// order of the upstreams in the regions for which allowed returns true. Adding or removing an
+// upstream moves only its own keys.
+func Candidates(l []*cataloger.Upstream, key hasher.Hash, all []*cataloger.Upstream, allowed func(region string) bool) []*cataloger.Upstream {
 	return ListOf(l, key, all, func(u *cataloger.Upstream) bool { return allowed(u.Site.Region()) })
 }
 
-// ListOf is List with a choice by upstream.
-func ListOf(l []*cataloger.Upstream, key hasher.Hash, all []*cataloger.Upstream, take func(*cataloger.Upstream) bool) []*cataloger.Upstream {
+// ListOf is like Candidates, with a filter on upstreams instead of regions.
+func ListOf(l []*cataloger.Upstream, key hasher.Hash, all []*cataloger.Upstream, match func(*cataloger.Upstream) bool) []*cataloger.Upstream {
 	var scores [ListLength]hasher.Hash
 	for _, u := range all {
-		if !take(u) {
+		if !match(u) {
 			continue
 		}
 		l = insert(l, &scores, u, hasher.Mix(key, u.Hash()))
@@ -126,7 +132,7 @@
 	return l
 }
 
-// insert keeps l sorted by falling score and at most ListLength long.
+// insert adds u to l, which is sorted by descending score and has at most ListLength elements.
 func insert(l []*cataloger.Upstream, scores *[ListLength]hasher.Hash, u *cataloger.Upstream, h hasher.Hash) []*cataloger.Upstream {
 	n := len(l)
 	at := n
@@ -146,40 +152,40 @@
 	return l
 }
 
-// Judge says whether an upstream takes a request now. Urgent is a request of the
-// most urgent rank of its service.
+// Judge returns Fit if the upstream takes a request now, and otherwise the reason it does not.
+// urgent marks a request of the most urgent rank of its service.
 func (p Placer) Judge(s State, urgent bool) Verdict {
-	line := laterShare
+	queueFactor := normalQueueFactor
 	if urgent || p.Without.Has(switcher.Rank) {
-		line = lineShare
+		queueFactor = urgentQueueFactor
 	}
 	slots := float64(max(s.Slots, 1))
 	switch {
 	case s.Tried:
-		return Tried
+		return Attempted
 	case s.Gone:
 		return Gone
 	case s.Down && !p.Without.Has(switcher.BackOff):
 		return Down
-	case s.spared() && !p.Without.Has(switcher.FailureShares):
+	case s.excluded() && !p.Without.Has(switcher.FailureShares):
 		return Failing
-	case s.Reported > line*slots && !p.Without.Has(switcher.LineLimits):
-		return Line
+	case s.Reported > queueFactor*slots && !p.Without.Has(switcher.LineLimits):
+		return QueueFull
 	case s.Cold:
 		return Cold
 	}
 	return Fit
 }
 
-// ChooseHomed chooses for a key whose home is the first state. While the home has too
-// much to do, the key either moves, to an upstream that has little to do, or waits: its
-// request is refused. A key that only visits another upstream pushes the keys of that one
-// out of its memory; with a part of the upstreams lost, that keeps all of them at the full
-// work of keys that they do not know, long after the loss. Visits to upstreams that ran the
-// key before do not pay either.
+// ChooseHomed is like Choose for a key whose home is the first state. While the home's queue
+// is full, the key either moves (move is true) to an idle upstream, or waits: the index is -1
+// and the request is refused. A key that runs at another upstream without moving there evicts
+// keys from that upstream's cache; after the loss of some upstreams, this keeps all others at
+// the cost of unknown keys long after the loss. Running it at upstreams that ran the key
+// before does not pay off either.
 func (p Placer) ChooseHomed(states []State, urgent bool) (i int, first Verdict, move bool) {
 	i, first = p.Choose(states, urgent)
-	if i <= 0 || !first.full() {
+	if i <= 0 || !first.overloaded() {
 		return i, first, false
 	}
 	if states[i].idle() {
@@ -191,9 +197,9 @@
 	return -1, first, false
 }
 
-// Choose returns the first state that takes a request, or -1, and why the first
-// one of all was passed over. A failing upstream is taken where no other is left: if all of them
-// refuse half of what they get, every second request is still served.
+// Choose returns the index of the first state that takes a request, or -1, and the verdict on
+// states[0]. A failing upstream is chosen if no other is left: when all of them refuse half of
+// their requests, every second request is still served.
 func (p Placer) Choose(states []State, urgent bool) (int, Verdict) {
 	first, failing := Gone, -1
 	for i, s := range states {
@@ -201,7 +207,7 @@
 		if i == 0 {
 			first = v
 		}
-		if v == Fit && (first != Failing || s.FailShare < betterShare*states[0].FailShare) {
+		if v == Fit && (first != Failing || s.FailShare < failShareRatio*states[0].FailShare) {
 			return i, first
 		}
 		s.Failing = false
--- a/internal/request/placer/place_test.go
+++ b/internal/request/placer/place_test.go
@@ -22,7 +22,7 @@
 	return c.Current().Of("s")
 }
 
-func anywhere(string) bool { return true }
+func anyRegion(string) bool { return true }
 
 func TestListMovesOnlyTheKeysOfWhatLeft(t *testing.T) {
 	is := is.New(t)
@@ -36,8 +36,8 @@
 	}
 	for k := range 500 {
 		key := hasher.OfString(fmt.Sprint("key", k))
-		before := placer.List(nil, key, all, anywhere)
-		after := placer.List(nil, key, rest, anywhere)
+		before := placer.Candidates(nil, key, all, anyRegion)
+		after := placer.Candidates(nil, key, rest, anyRegion)
 		is.Equal(len(before), placer.ListLength)
 		if before[0] == gone {
 			is.Equal(after[0], before[1]) // the next in the order takes over
@@ -50,7 +50,7 @@
 func TestListKeepsToAllowedRegions(t *testing.T) {
 	is := is.New(t)
 	for k := range 100 {
-		list := placer.List(nil, hasher.OfString(fmt.Sprint(k)), catalog(24), func(r string) bool { return r == "region1" })
+		list := placer.Candidates(nil, hasher.OfString(fmt.Sprint(k)), catalog(24), func(r string) bool { return r == "region1" })
 		is.Equal(len(list), placer.ListLength)
 		for _, u := range list {
 			is.Equal(u.Site.Region(), "region1")
@@ -61,34 +61,34 @@
 func TestChoose(t *testing.T) {
 	free := placer.State{Slots: 6}
 	tests := []struct {
-		name   string
-		states []placer.State
-		urgent bool
-		want   int
-		why    placer.Verdict
+		name    string
+		states  []placer.State
+		urgent  bool
+		want    int
+		verdict placer.Verdict
 	}{
 		{"first", []placer.State{free, free}, false, 0, placer.Fit},
 		{"waits in line at the first", []placer.State{{Slots: 6, Reported: 11}, free}, false, 0, placer.Fit},
-		{"line too long", []placer.State{{Slots: 6, Reported: 13}, free}, false, 1, placer.Line},
+		{"line too long", []placer.State{{Slots: 6, Reported: 13}, free}, false, 1, placer.QueueFull},
 		{"line for the urgent", []placer.State{{Slots: 6, Reported: 13}, free}, true, 0, placer.Fit},
 		{"own requests only", []placer.State{{Slots: 6, Own: 6, Reported: 6}, free}, false, 0, placer.Fit},
-		{"own requests fill the line", []placer.State{{Slots: 6, Own: 13, Reported: 13}, free}, false, 1, placer.Line},
+		{"own requests fill the line", []placer.State{{Slots: 6, Own: 13, Reported: 13}, free}, false, 1, placer.QueueFull},
 		{"down", []placer.State{{Slots: 6, Down: true}, free}, false, 1, placer.Down},
 		{"failing", []placer.State{{Slots: 6, Failing: true, FailShare: 0.5}, free}, false, 1, placer.Failing},
 		{"failing little more than the other", []placer.State{{Slots: 6, Failing: true, FailShare: 0.5}, {Slots: 6, FailShare: 0.3}}, false, 0, placer.Failing},
 		{"failing, and the third much less", []placer.State{{Slots: 6, Failing: true, FailShare: 0.5}, {Slots: 6, FailShare: 0.3}, free}, false, 2, placer.Failing},
 		{"all failing", []placer.State{{Slots: 6, Failing: true}, {Slots: 6, Failing: true}}, false, 0, placer.Failing},
 		{"failing and the other full", []placer.State{{Slots: 6, Failing: true}, {Slots: 6, Reported: 16}}, false, 0, placer.Failing},
-		{"failing and tried", []placer.State{{Slots: 6, Failing: true, Tried: true}, {Slots: 6, Down: true}}, false, -1, placer.Tried},
-		{"all full", []placer.State{{Slots: 6, Reported: 16}, {Slots: 6, Own: 16, Reported: 16}}, true, -1, placer.Line},
+		{"failing and tried", []placer.State{{Slots: 6, Failing: true, Tried: true}, {Slots: 6, Down: true}}, false, -1, placer.Attempted},
+		{"all full", []placer.State{{Slots: 6, Reported: 16}, {Slots: 6, Own: 16, Reported: 16}}, true, -1, placer.QueueFull},
 		{"none", nil, true, -1, placer.Gone},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			got, why := placer.Placer{}.Choose(tt.states, tt.urgent)
+			got, verdict := placer.Placer{}.Choose(tt.states, tt.urgent)
 			is.Equal(got, tt.want)
-			is.Equal(why, tt.why)
+			is.Equal(verdict, tt.verdict)
 		})
 	}
 }
@@ -118,13 +118,13 @@
 	}
 }
 
-// TestKnownUpstreamThatRefusesSome judges an upstream that fails or refuses some requests, by
-// whether it knows the request's key.
+// TestKnownUpstreamThatRefusesSome checks upstreams that fail or refuse a share of their
+// requests, with and without knowledge of the request's key.
 func TestKnownUpstreamThatRefusesSome(t *testing.T) {
 	tests := []struct {
-		knows        bool
-		share, broke float64
-		want         placer.Verdict
+		knows             bool
+		share, errorShare float64
+		want              placer.Verdict
 	}{
 		{false, 0.45, 0, placer.Failing},
 		{true, 0.45, 0, placer.Fit},
@@ -133,23 +133,23 @@
 		{true, 0.75, 0, placer.Failing},
 	}
 	for _, tt := range tests {
-		s := placer.State{Slots: 4, Failing: true, FailShare: tt.share, BreakShare: tt.broke, Knows: tt.knows}
+		s := placer.State{Slots: 4, Failing: true, FailShare: tt.share, BreakShare: tt.errorShare, Knows: tt.knows}
 		is.New(t).Equal(placer.Placer{}.Judge(s, true), tt.want)
 	}
 }
 
-// TestAllRefuseHalf has all upstreams refuse nearly half of what they get. A request that
-// leaves its home is served late elsewhere, which earns a fifth, so most stay.
+// TestAllRefuseHalf has all upstreams refuse nearly half of their requests. A request that
+// leaves its home is served late elsewhere, which is worth a fifth, so most should stay.
 func TestAllRefuseHalf(t *testing.T) {
 	is := is.New(t)
-	away, kept := earned(false), earned(true)
-	t.Logf("earned of 2,000: %.0f if keys leave, %.0f if they stay", away, kept)
-	is.True(kept > away)
+	left, stayed := serviceValue(false), serviceValue(true)
+	t.Logf("value of 2,000 requests: %.0f if keys leave, %.0f if they stay", left, stayed)
+	is.True(stayed > left)
 }
 
-// earned is what callers get of 2,000 requests of keys that their homes know, each sent
-// at most twice.
-func earned(knows bool) (sum float64) {
+// serviceValue returns the total value of 2,000 requests with at most two attempts each. The
+// homes know the keys if knows is set.
+func serviceValue(knows bool) (sum float64) {
 	const late, refusing, weight, limit = 0.2, 0.45, 0.15, 0.35
 	random := rand.New(rand.NewPCG(1, 2))
 	shares := make([]float64, 20)
--- a/internal/request/placer/without_test.go
+++ b/internal/request/placer/without_test.go
@@ -9,13 +9,13 @@
 	"github.com/gullvale/gullvale/internal/request/placer"
 )
 
-// allBut is every mechanism but one.
-func allBut(m switcher.Mechanism) switcher.Set {
+// allExcept returns all mechanisms except m.
+func allExcept(m switcher.Mechanism) switcher.Set {
 	return switcher.Of(switcher.All()...) &^ switcher.Of(m)
 }
 
-// TestSwitchedOff judges an upstream that a mechanism passes over: with the mechanism,
-// also where all others are off, it is passed over, and without it is not.
+// TestSwitchedOff checks an upstream that one mechanism passes over: it is passed over with
+// all mechanisms and with that one alone, and accepted without it.
 func TestSwitchedOff(t *testing.T) {
 	tests := []struct {
 		mechanism switcher.Mechanism
@@ -23,7 +23,7 @@
 		urgent    bool
 		want      placer.Verdict
 	}{
-		{switcher.LineLimits, placer.State{Slots: 6, Reported: 40}, true, placer.Line},
+		{switcher.LineLimits, placer.State{Slots: 6, Reported: 40}, true, placer.QueueFull},
 		{switcher.FailureShares, placer.State{Slots: 6, Failing: true, FailShare: 0.5}, true, placer.Failing},
 		{switcher.BackOff, placer.State{Slots: 6, Down: true}, true, placer.Down},
 	}
@@ -31,34 +31,35 @@
 		t.Run(tt.mechanism.String(), func(t *testing.T) {
 			is := is.New(t)
 			is.Equal(placer.Placer{}.Judge(tt.state, tt.urgent), tt.want)
-			is.Equal(placer.Placer{Without: allBut(tt.mechanism)}.Judge(tt.state, tt.urgent), tt.want)
+			is.Equal(placer.Placer{Without: allExcept(tt.mechanism)}.Judge(tt.state, tt.urgent), tt.want)
 			is.Equal(placer.Placer{Without: switcher.Of(tt.mechanism)}.Judge(tt.state, tt.urgent), placer.Fit)
 		})
 	}
 }
 
-// TestRankSwitchedOff judges an upstream whose line is too long for all but the urgent.
+// TestRankSwitchedOff checks an upstream whose queue is full for all but urgent requests.
 func TestRankSwitchedOff(t *testing.T) {
 	is := is.New(t)
 	state := placer.State{Slots: 6, Reported: 13}
-	is.Equal(placer.Placer{}.Judge(state, false), placer.Line)
+	is.Equal(placer.Placer{}.Judge(state, false), placer.QueueFull)
 	is.Equal(placer.Placer{}.Judge(state, true), placer.Fit)
 	without := placer.Placer{Without: switcher.Of(switcher.Rank)}
 	is.Equal(without.Judge(state, false), placer.Fit)
-	is.Equal(without.Judge(placer.State{Slots: 6, Reported: 16}, false), placer.Line)
+	is.Equal(without.Judge(placer.State{Slots: 6, Reported: 16}, false), placer.QueueFull)
 }
 
-// TestWaitingSwitchedOff chooses for a key whose home is full, beside an upstream that is
-// not idle: the key waits, or visits that one and keeps its home.
+// TestWaitingSwitchedOff chooses for a key whose home is full, next to an upstream that is not
+// idle. With the mechanism the request is refused; without it, it runs at the other upstream
+// and the key keeps its home.
 func TestWaitingSwitchedOff(t *testing.T) {
 	is := is.New(t)
 	states := []placer.State{{Slots: 6, Reported: 16}, {Slots: 6, Reported: 4}}
-	i, why, move := placer.Placer{}.ChooseHomed(states, true)
+	i, verdict, move := placer.Placer{}.ChooseHomed(states, true)
 	is.Equal(i, -1)
-	is.Equal(why, placer.Line)
+	is.Equal(verdict, placer.QueueFull)
 	is.True(!move)
-	i, why, move = placer.Placer{Without: switcher.Of(switcher.Waiting)}.ChooseHomed(states, true)
+	i, verdict, move = placer.Placer{Without: switcher.Of(switcher.Waiting)}.ChooseHomed(states, true)
 	is.Equal(i, 1)
-	is.Equal(why, placer.Line)
+	is.Equal(verdict, placer.QueueFull)
 	is.True(!move)
 }
