--- a/internal/request/assigner/assigner.go
+++ b/internal/request/assigner/assigner.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// MaxKeys bounds the keys that have a home, so that all of them fit in one
-	// object of the store. Beyond it, keys go by their hash alone.
+	// MaxKeys is the maximum number of keys with a home, so that all of them fit in one object
+	// of the store. Further keys are placed by their hash alone.
 	MaxKeys = 30_000
 
-	// memory is the time over which requests count as the load of a key.
-	memory = 10 * timekeeper.Second
+	// loadDecayTime is the time constant with which a request's contribution to the load of
+	// its key decays.
+	loadDecayTime = 10 * timekeeper.Second
 
-	// forgetAfter is how long a key without requests keeps its home.
-	forgetAfter = 5 * timekeeper.Minute
+	// idleExpiry is how long a key without requests keeps its home.
+	idleExpiry = 5 * timekeeper.Minute
 
-	// movesPerSecond is how many keys one daemon moves in a second away from
-	// upstreams that have too many. A moved key costs one run without memory.
+	// movesPerSecond is the maximum rate at which one daemon moves keys from crowded
+	// upstreams. A moved key costs one run without a cache entry.
 	movesPerSecond = 3.0
 
-	// reliefEvery is how often a daemon looks for a key to move, in order to
-	// spend no time on it with most requests.
-	reliefEvery = 50 * timekeeper.Millis(1)
+	// reliefInterval is the minimum time between searches for a key to move, so that most
+	// requests don't pay for one.
+	reliefInterval = 50 * timekeeper.Millis(1)
 
-	// crowded is how many times the load of the least loaded candidate a home
-	// must have for one of its keys to move there.
-	crowded = 3.0
+	// crowdedRatio is how many times the load of the least loaded candidate a home must have
+	// for one of its keys to move there.
+	crowdedRatio = 3.0
 )
 
 type (
@@ -42,71 +43,73 @@
 		Key hasher.Hash
 		// Upstream is the hash of the incarnation.
 		Upstream hasher.Hash
-		// Version grows with each move of the key.
+		// Version increases with each move of the key.
 		Version uint32
 	}
 
-	// Assigner holds the homes. Region and Regions must be set before use.
+	// Assigner stores the homes of keys. Region and Regions must be set before use.
 	Assigner struct {
-		// Region is where the callers are, Regions are all there are.
+		// Region is the region of the callers, Regions lists all regions.
 		Region  string
 		Regions []string
-		// Announce hands new homes to the other daemons of the region.
+		// Announce sends new homes to the other daemons of the region. Nil means they are not
+		// announced.
 		Announce func([]Assignment)
 		Clock    timekeeper.Clock
-		// Without are the mechanisms that are off.
+		// Without is the set of disabled mechanisms.
 		Without switcher.Set
 
-		lock    sync.Mutex
-		homes   map[hasher.Hash]*home
-		loads   map[hasher.Hash]float64
-		demands map[resolver.ServiceName]demands
-		base    timekeeper.Millis
-		tokens  float64
-		refill  timekeeper.Millis
-		looked  timekeeper.Millis
-		changed uint64
+		lock            sync.Mutex
+		homes           map[hasher.Hash]*home
+		loads           map[hasher.Hash]float64
+		demands         map[resolver.ServiceName]demands
+		weightEpoch     timekeeper.Millis
+		tokens          float64
+		refilledAt      timekeeper.Millis
+		reliefCheckedAt timekeeper.Millis
+		changes         uint64
 	}
 
 	home struct {
 		upstream hasher.Hash
 		version  uint32
-		// weight is the load of the key, in units that grow with time.
+		// weight is the load of the key, in units that grow with time; see weightAt.
 		weight float64
-		used   timekeeper.Millis
-		// former are upstreams that ran the key before its home, or beside it.
-		former former
-		// seen is the latest home that a request found here, for the account of a move.
-		seen *cataloger.Upstream
+		usedAt timekeeper.Millis
+		// former lists the upstreams other than the home that ran the key recently.
+		former formerHomes
+		// lastSeen is the latest home that a request of this daemon used, reported when the
+		// key moves.
+		lastSeen *cataloger.Upstream
 	}
 )
 
-// Home returns the upstream that a key has, and gives it one if it has none that
-// takes work.
+// Home returns the home of a key. A key without one, or whose home is gone or not allowed, is
+// assigned a new home.
 func (a *Assigner) Home(key hasher.Hash, r Request, all []*cataloger.Upstream) Placement {
 	now := a.Clock.Now()
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	a.begin(now)
-	a.demands[r.Service] = a.demands[r.Service].note(r, a.unit(now))
+	a.init(now)
+	a.demands[r.Service] = a.demands[r.Service].record(r, a.weightAt(now))
 	h := a.homes[key]
 	var u *cataloger.Upstream
 	if h != nil {
-		u = find(all, h.upstream, r.Allowed)
+		u = findUpstream(all, h.upstream, r.Allowed)
 	}
 	p := Placement{Upstream: u, Reason: AtHome}
 	if u == nil {
-		p = a.settle(key, h, r, all, now)
-	} else if v := a.relief(key, u, r, all, now); v != nil {
-		p = a.moveFor(Relieved, key, h, v)
+		p = a.assignHome(key, h, r, all, now)
+	} else if v := a.reliefTarget(key, u, r, all, now); v != nil {
+		p = a.moveWithReason(Relieved, key, h, v)
 	}
 	if h = a.homes[key]; h != nil {
-		a.use(h, p.Upstream, now)
+		a.recordUse(h, p.Upstream, now)
 	}
 	return p
 }
 
-// Barred tells whether a key lives at an upstream in a region that is not allowed.
+// Barred reports whether the home of a key is in a region that is not allowed.
 func (a *Assigner) Barred(key hasher.Hash, all []*cataloger.Upstream, allowed func(region string) bool) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -114,23 +117,24 @@
 	if h == nil {
 		return false
 	}
-	u := find(all, h.upstream, anyRegion)
+	u := findUpstream(all, h.upstream, anyRegion)
 	return u != nil && !allowed(u.Site.Region())
 }
 
-// use counts a request of a key that has a home, at u if any takes it.
-func (a *Assigner) use(h *home, u *cataloger.Upstream, now timekeeper.Millis) {
-	w := a.unit(now)
+// recordUse adds a request to the load of a key's home. u is the upstream that takes the
+// request, nil if none does.
+func (a *Assigner) recordUse(h *home, u *cataloger.Upstream, now timekeeper.Millis) {
+	w := a.weightAt(now)
 	h.weight += w
-	h.used = now
+	h.usedAt = now
 	a.loads[h.upstream] += w
 	if u != nil {
-		h.seen = u
+		h.lastSeen = u
 	}
 }
 
-// Move makes a key that waits at a full home live at another upstream. The zero
-// Placement tells that the key stays.
+// Move changes the home of a key whose home is full. It returns the zero Placement if the key
+// stays.
 func (a *Assigner) Move(key hasher.Hash, to *cataloger.Upstream) Placement {
 	if a.Without.Has(switcher.Moves) {
 		return Placement{}
@@ -138,26 +142,26 @@
 	now := a.Clock.Now()
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	a.begin(now)
+	a.init(now)
 	h := a.homes[key]
-	if h == nil || h.upstream == to.Hash() || !a.take(now) {
+	if h == nil || h.upstream == to.Hash() || !a.takeToken(now) {
 		return Placement{}
 	}
-	return a.moveFor(Overflowed, key, h, to)
+	return a.moveWithReason(Overflowed, key, h, to)
 }
 
-// Learn takes homes over that another daemon announced.
+// Learn merges homes that another daemon announced.
 func (a *Assigner) Learn(list []Assignment) {
 	now := a.Clock.Now()
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	a.begin(now)
+	a.init(now)
 	for _, s := range list {
-		a.learn(s, now)
+		a.merge(s, now)
 	}
 }
 
-// All returns all homes, and a number that grows with each change.
+// All returns all homes and a number that increases with each change.
 func (a *Assigner) All() ([]Assignment, uint64) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -165,75 +169,75 @@
 	for k, h := range a.homes {
 		all = append(all, Assignment{k, h.upstream, h.version})
 	}
-	return all, a.changed
+	return all, a.changes
 }
 
-// Forget drops the keys that had no request for long.
+// Forget drops keys that have been idle for longer than idleExpiry.
 func (a *Assigner) Forget() {
 	now := a.Clock.Now()
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	a.rebase(now)
 	for k, h := range a.homes {
-		if now-h.used > forgetAfter {
+		if now-h.usedAt > idleExpiry {
 			a.loads[h.upstream] -= h.weight
 			delete(a.homes, k)
 		}
 	}
 }
 
-func (a *Assigner) learn(s Assignment, now timekeeper.Millis) {
+func (a *Assigner) merge(s Assignment, now timekeeper.Millis) {
 	h := a.homes[s.Key]
 	if h == nil {
 		if len(a.homes) >= MaxKeys {
 			return
 		}
-		w := a.unit(now)
-		a.homes[s.Key] = &home{upstream: s.Upstream, version: s.Version, weight: w, used: now}
+		w := a.weightAt(now)
+		a.homes[s.Key] = &home{upstream: s.Upstream, version: s.Version, weight: w, usedAt: now}
 		a.loads[s.Upstream] += w
-		a.changed++
+		a.changes++
 		return
 	}
 	newer := s.Version > h.version || s.Version == h.version && s.Upstream < h.upstream
 	if newer && s.Upstream != h.upstream {
-		a.rehome(h, s.Upstream)
+		a.setHome(h, s.Upstream)
 	}
 	if newer {
 		h.version = s.Version
 	}
 }
 
-func (a *Assigner) rehome(h *home, to hasher.Hash) {
-	h.former.note(h.upstream)
+func (a *Assigner) setHome(h *home, to hasher.Hash) {
+	h.former.record(h.upstream)
 	a.loads[h.upstream] -= h.weight
 	a.loads[to] += h.weight
 	h.upstream = to
-	a.changed++
+	a.changes++
 }
 
-// settle gives a key a home among the upstreams that its hash prefers.
-func (a *Assigner) settle(key hasher.Hash, h *home, r Request, all []*cataloger.Upstream, now timekeeper.Millis) Placement {
-	u := a.least(a.candidates(key, r, all))
+// assignHome assigns a key a home among its candidates. h is its previous home, nil for a new
+// key.
+func (a *Assigner) assignHome(key hasher.Hash, h *home, r Request, all []*cataloger.Upstream, now timekeeper.Millis) Placement {
+	u := a.leastLoaded(a.candidates(key, r, all))
 	if u == nil {
 		return Placement{}
 	}
 	if h != nil {
-		if v := a.least(a.known(nil, h, all, r.Allowed)); v != nil && !a.crowds(v, u, h) {
+		if v := a.leastLoaded(a.formerUpstreams(nil, h, all, r.Allowed)); v != nil && !a.isCrowded(v, u, h) {
 			u = v
 		}
-		return a.moveFor(h.lost(all), key, h, u)
+		return a.moveWithReason(h.lossReason(all), key, h, u)
 	}
 	if len(a.homes) >= MaxKeys {
 		return Placement{Upstream: u, Reason: Unkept}
 	}
-	a.homes[key] = &home{upstream: u.Hash(), version: 1, used: now}
-	a.changed++
+	a.homes[key] = &home{upstream: u.Hash(), version: 1, usedAt: now}
+	a.changes++
 	a.announce(key, a.homes[key])
 	return Placement{Upstream: u, Reason: NewKey}
 }
 
-// candidates are the upstreams that a key's hash prefers in the region that it
-// belongs to.
+// candidates returns the upstreams that a key's hash prefers in the region it is assigned to.
 func (a *Assigner) candidates(key hasher.Hash, r Request, all []*cataloger.Upstream) []*cataloger.Upstream {
 	var fit []*cataloger.Upstream
 	for _, u := range all {
@@ -242,51 +246,51 @@
 		}
 	}
 	if a.Without.Has(switcher.HomeRegions) {
-		return placer.List(nil, key, fit, func(string) bool { return true })
+		return placer.Candidates(nil, key, fit, func(string) bool { return true })
 	}
-	region := a.spread(r, fit).home(key)
-	return placer.List(nil, key, fit, func(name string) bool { return name == region })
+	region := a.splitByRegion(r, fit).regionOf(key)
+	return placer.Candidates(nil, key, fit, func(name string) bool { return name == region })
 }
 
-// relief returns a candidate with much less load than the home of a key, nil if
-// there is none or no more keys may move now.
-func (a *Assigner) relief(key hasher.Hash, u *cataloger.Upstream, r Request, all []*cataloger.Upstream, now timekeeper.Millis) *cataloger.Upstream {
-	if a.Without.Has(switcher.Moves) || now-a.looked < reliefEvery || a.allowance(now) < 1 {
+// reliefTarget returns an upstream with much less load than the home of a key, or nil if there
+// is none or no more keys may move now.
+func (a *Assigner) reliefTarget(key hasher.Hash, u *cataloger.Upstream, r Request, all []*cataloger.Upstream, now timekeeper.Millis) *cataloger.Upstream {
+	if a.Without.Has(switcher.Moves) || now-a.reliefCheckedAt < reliefInterval || a.refillTokens(now) < 1 {
 		return nil
 	}
-	a.looked = now
+	a.reliefCheckedAt = now
 	h := a.homes[key]
-	for _, l := range [][]*cataloger.Upstream{a.known(nil, h, all, r.Allowed), a.candidates(key, r, all)} {
-		if v := a.least(l); v != nil && v != u && a.crowds(u, v, h) {
-			a.take(now)
+	for _, l := range [][]*cataloger.Upstream{a.formerUpstreams(nil, h, all, r.Allowed), a.candidates(key, r, all)} {
+		if v := a.leastLoaded(l); v != nil && v != u && a.isCrowded(u, v, h) {
+			a.takeToken(now)
 			return v
 		}
 	}
 	return nil
 }
 
-// crowds tells whether u has so much more load than v that a key should rather live at v,
-// without making that the crowded one.
-func (a *Assigner) crowds(u, v *cataloger.Upstream, h *home) bool {
-	return a.load(u) >= crowded*(a.load(v)+h.weight/float64(max(v.Slots, 1)))
+// isCrowded reports whether the load of u is at least crowdedRatio times the load that v would
+// have with the key of h.
+func (a *Assigner) isCrowded(u, v *cataloger.Upstream, h *home) bool {
+	return a.loadPerSlot(u) >= crowdedRatio*(a.loadPerSlot(v)+h.weight/float64(max(v.Slots, 1)))
 }
 
-func (a *Assigner) least(candidates []*cataloger.Upstream) (best *cataloger.Upstream) {
+func (a *Assigner) leastLoaded(candidates []*cataloger.Upstream) (best *cataloger.Upstream) {
 	for _, u := range candidates {
-		if best == nil || a.load(u) < a.load(best) {
+		if best == nil || a.loadPerSlot(u) < a.loadPerSlot(best) {
 			best = u
 		}
 	}
 	return best
 }
 
-// load is that of the keys that live at u, for each slot.
-func (a *Assigner) load(u *cataloger.Upstream) float64 {
+// loadPerSlot returns the load of the keys whose home is u, divided by its slots.
+func (a *Assigner) loadPerSlot(u *cataloger.Upstream) float64 {
 	return a.loads[u.Hash()] / float64(max(u.Slots, 1))
 }
 
 func (a *Assigner) move(key hasher.Hash, h *home, to *cataloger.Upstream) {
-	a.rehome(h, to.Hash())
+	a.setHome(h, to.Hash())
 	h.version++
 	a.announce(key, h)
 }
@@ -297,40 +301,40 @@
 	}
 }
 
-func (a *Assigner) allowance(now timekeeper.Millis) float64 {
-	a.tokens = min(a.tokens+float64(now-a.refill)/float64(timekeeper.Second)*movesPerSecond, movesPerSecond)
-	a.refill = now
+func (a *Assigner) refillTokens(now timekeeper.Millis) float64 {
+	a.tokens = min(a.tokens+float64(now-a.refilledAt)/float64(timekeeper.Second)*movesPerSecond, movesPerSecond)
+	a.refilledAt = now
 	return a.tokens
 }
 
-func (a *Assigner) take(now timekeeper.Millis) bool {
-	if a.allowance(now) < 1 {
+func (a *Assigner) takeToken(now timekeeper.Millis) bool {
+	if a.refillTokens(now) < 1 {
 		return false
 	}
 	a.tokens--
 	return true
 }
 
-// unit is the weight of one request now. It grows with time, so that older
-// requests count less without being looked at again.
-func (a *Assigner) unit(now timekeeper.Millis) float64 {
-	return math.Exp(float64(now-a.base) / float64(memory))
+// weightAt returns the weight of one request at a time. It grows exponentially, so that older
+// requests count less without being updated.
+func (a *Assigner) weightAt(now timekeeper.Millis) float64 {
+	return math.Exp(float64(now-a.weightEpoch) / float64(loadDecayTime))
 }
 
-func (a *Assigner) begin(now timekeeper.Millis) {
+func (a *Assigner) init(now timekeeper.Millis) {
 	if a.homes == nil {
 		a.homes, a.loads = map[hasher.Hash]*home{}, map[hasher.Hash]float64{}
 		a.demands = map[resolver.ServiceName]demands{}
-		a.base, a.refill = now, now
+		a.weightEpoch, a.refilledAt = now, now
 	}
-	if now-a.base > 100*memory {
+	if now-a.weightEpoch > 100*loadDecayTime {
 		a.rebase(now)
 	}
 }
 
-// rebase brings all weights back to units of now.
+// rebase rescales all weights so that a request now has weight 1.
 func (a *Assigner) rebase(now timekeeper.Millis) {
-	f := 1 / a.unit(now)
+	f := 1 / a.weightAt(now)
 	clear(a.loads)
 	for _, h := range a.homes {
 		h.weight *= f
@@ -341,10 +345,10 @@
 			d[i].work *= f
 		}
 	}
-	a.base = now
+	a.weightEpoch = now
 }
 
-func find(all []*cataloger.Upstream, id hasher.Hash, allowed func(string) bool) *cataloger.Upstream {
+func findUpstream(all []*cataloger.Upstream, id hasher.Hash, allowed func(string) bool) *cataloger.Upstream {
 	for _, u := range all {
 		if u.Hash() == id && allowed(u.Site.Region()) {
 			return u
--- a/internal/request/assigner/assigner_test.go
+++ b/internal/request/assigner/assigner_test.go
@@ -18,14 +18,14 @@
 
 var regions = []string{"east", "north", "west"}
 
-// world is a clock, upstreams and an assigner.
-type world struct {
+// fixture holds a simulated clock and upstreams.
+type fixture struct {
 	now timekeeper.Millis
 	all []*cataloger.Upstream
 }
 
-// newWorld has the given number of upstreams in each region.
-func newWorld(counts ...int) *world {
+// newFixture returns a fixture with the given number of upstreams in each region.
+func newFixture(counts ...int) *fixture {
 	var c cataloger.Catalog
 	for r, n := range counts {
 		for i := range n {
@@ -39,26 +39,26 @@
 	}
 	all := c.Current().Of("s")
 	slices.SortFunc(all, func(x, y *cataloger.Upstream) int { return cmp.Compare(x.ID, y.ID) })
-	return &world{all: all}
+	return &fixture{all: all}
 }
 
-func (w *world) clock() timekeeper.Clock {
-	return timekeeper.Clock{Monotonic: func() timekeeper.Millis { return w.now }}
+func (f *fixture) clock() timekeeper.Clock {
+	return timekeeper.Clock{Monotonic: func() timekeeper.Millis { return f.now }}
 }
 
-func (w *world) assigner(region string) *assigner.Assigner {
-	return &assigner.Assigner{Region: region, Regions: regions, Clock: w.clock()}
+func (f *fixture) assigner(region string) *assigner.Assigner {
+	return &assigner.Assigner{Region: region, Regions: regions, Clock: f.clock()}
 }
 
-func anywhere(string) bool { return true }
+func anyRegion(string) bool { return true }
 
-// toAnywhere is a request of the only route there is.
-var toAnywhere = assigner.Request{Service: "s", Route: "r", Objective: 500, Allowed: anywhere}
+// anyRequest is a request of the only route, allowed in all regions.
+var anyRequest = assigner.Request{Service: "s", Route: "r", Objective: 500, Allowed: anyRegion}
 
 func key(i int) hasher.Hash { return hasher.OfString(fmt.Sprint("key", i)) }
 
-// spreadOf returns the most keys on one upstream over the mean.
-func spreadOf(all []*cataloger.Upstream, keys int, home func(hasher.Hash) *cataloger.Upstream) float64 {
+// maxOverMean returns the maximum number of keys on one upstream divided by the mean.
+func maxOverMean(all []*cataloger.Upstream, keys int, home func(hasher.Hash) *cataloger.Upstream) float64 {
 	n, most := map[*cataloger.Upstream]int{}, 0
 	for i := range keys {
 		u := home(key(i))
@@ -68,36 +68,37 @@
 	return float64(most) * float64(len(all)) / float64(keys)
 }
 
-// The load: 450 keys on 24 upstreams. By hash alone the fullest upstream has 1.4
-// times the mean and more; with homes less than 1.25.
+// TestNewKeysAreSpreadEvenly assigns 450 keys to 24 upstreams. By hash alone, the fullest
+// upstream has at least 1.4 times the mean; with homes, less than 1.25.
 func TestNewKeysAreSpreadEvenly(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(8, 8, 8)
-	byHash := spreadOf(w.all, 450, func(k hasher.Hash) *cataloger.Upstream {
-		return placer.List(nil, k, w.all, anywhere)[0]
+	f := newFixture(8, 8, 8)
+	byHash := maxOverMean(f.all, 450, func(k hasher.Hash) *cataloger.Upstream {
+		return placer.Candidates(nil, k, f.all, anyRegion)[0]
 	})
 	of := map[string]*assigner.Assigner{}
 	for _, r := range regions {
-		of[r] = w.assigner(r)
+		of[r] = f.assigner(r)
 	}
 	i := 0
-	byHome := spreadOf(w.all, 450, func(k hasher.Hash) *cataloger.Upstream {
+	byHome := maxOverMean(f.all, 450, func(k hasher.Hash) *cataloger.Upstream {
 		i++
-		return of[regions[i%len(regions)]].Home(k, toAnywhere, w.all).Upstream
+		return of[regions[i%len(regions)]].Home(k, anyRequest, f.all).Upstream
 	})
 	t.Logf("most over mean: by hash %.2f, with homes %.2f", byHash, byHome)
 	is.True(byHash > 1.35)
 	is.True(byHome < 1.25)
 }
 
-// A region with few upstreams keeps the part of its keys that they can carry.
+// TestRegionKeepsWhatItCarries checks that a region with few upstreams keeps the share of its
+// keys that they can serve.
 func TestRegionKeepsWhatItCarries(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2, 10, 12)
+	f := newFixture(2, 10, 12)
 	local := func(region string) (n int) {
-		a := w.assigner(region)
+		a := f.assigner(region)
 		for i := range 600 {
-			if a.Home(key(i), toAnywhere, w.all).Upstream.Site.Region() == region {
+			if a.Home(key(i), anyRequest, f.all).Upstream.Site.Region() == region {
 				n++
 			}
 		}
@@ -111,47 +112,48 @@
 
 func TestHomeStays(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(8, 8, 8)
-	a := w.assigner("east")
+	f := newFixture(8, 8, 8)
+	a := f.assigner("east")
 	first := map[int]*cataloger.Upstream{}
 	for i := range 50 {
-		first[i] = a.Home(key(i), toAnywhere, w.all).Upstream
+		first[i] = a.Home(key(i), anyRequest, f.all).Upstream
 	}
 	for range 200 {
-		w.now += 20
+		f.now += 20
 		for i := range 50 {
-			is.Equal(a.Home(key(i), toAnywhere, w.all).Upstream, first[i])
+			is.Equal(a.Home(key(i), anyRequest, f.all).Upstream, first[i])
 		}
 	}
 }
 
 func TestHomeMovesWhenItsUpstreamIsGone(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(4)
-	a := w.assigner("east")
-	gone := a.Home(key(1), toAnywhere, w.all).Upstream
+	f := newFixture(4)
+	a := f.assigner("east")
+	gone := a.Home(key(1), anyRequest, f.all).Upstream
 	var rest []*cataloger.Upstream
-	for _, u := range w.all {
+	for _, u := range f.all {
 		if u != gone {
 			rest = append(rest, u)
 		}
 	}
-	next := a.Home(key(1), toAnywhere, rest).Upstream
+	next := a.Home(key(1), anyRequest, rest).Upstream
 	is.True(next != gone)
-	// It does not move back when the other returns: that would cost a second
-	// run without memory.
-	is.Equal(a.Home(key(1), toAnywhere, w.all).Upstream, next)
+	// The key stays when the former home returns: moving back would cost a second uncached
+	// run.
+	is.Equal(a.Home(key(1), anyRequest, f.all).Upstream, next)
 }
 
-// A hot upstream gives keys away, no more than a few in a second.
+// TestCrowdedHomeGivesKeysAway checks that keys move from an overloaded upstream, but only a
+// few each second.
 func TestCrowdedHomeGivesKeysAway(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(4)
-	a := w.assigner("east")
+	f := newFixture(4)
+	a := f.assigner("east")
 	var hot *cataloger.Upstream
 	var kept []int
 	for i := range 200 {
-		u := a.Home(key(i), toAnywhere, w.all).Upstream
+		u := a.Home(key(i), anyRequest, f.all).Upstream
 		if hot == nil {
 			hot = u
 		}
@@ -163,12 +165,12 @@
 	turn := 0
 	moved := func(seconds int) (n int) {
 		for range seconds * 100 {
-			w.now += 10
-			a.Home(key(kept[turn%len(kept)]), toAnywhere, w.all)
+			f.now += 10
+			a.Home(key(kept[turn%len(kept)]), anyRequest, f.all)
 			turn++
 		}
 		for _, i := range kept {
-			if a.Home(key(i), toAnywhere, w.all).Upstream != hot {
+			if a.Home(key(i), anyRequest, f.all).Upstream != hot {
 				n++
 			}
 		}
@@ -181,8 +183,8 @@
 
 func TestDaemonsAgree(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(8, 8, 8)
-	a, b := w.assigner("east"), w.assigner("east")
+	f := newFixture(8, 8, 8)
+	a, b := f.assigner("east"), f.assigner("east")
 	a.Announce = func(l []assigner.Assignment) { b.Learn(l) }
 	b.Announce = func(l []assigner.Assignment) { a.Learn(l) }
 	for i := range 200 {
@@ -190,65 +192,66 @@
 		if i%2 == 1 {
 			first, second = b, a
 		}
-		is.Equal(first.Home(key(i), toAnywhere, w.all).Upstream, second.Home(key(i), toAnywhere, w.all).Upstream)
+		is.Equal(first.Home(key(i), anyRequest, f.all).Upstream, second.Home(key(i), anyRequest, f.all).Upstream)
 	}
-	// Homes chosen at the same moment on both sides converge.
-	c, d := w.assigner("east"), w.assigner("east")
+	// Homes assigned concurrently on both sides converge.
+	c, d := f.assigner("east"), f.assigner("east")
 	var ofC, ofD []assigner.Assignment
 	c.Announce = func(l []assigner.Assignment) { ofC = append(ofC, l...) }
 	d.Announce = func(l []assigner.Assignment) { ofD = append(ofD, l...) }
 	for i := range 50 {
-		c.Home(key(i), toAnywhere, w.all)
-		d.Home(key(49-i), toAnywhere, w.all)
+		c.Home(key(i), anyRequest, f.all)
+		d.Home(key(49-i), anyRequest, f.all)
 	}
 	c.Learn(ofD)
 	d.Learn(ofC)
 	for i := range 50 {
-		is.Equal(c.Home(key(i), toAnywhere, w.all).Upstream, d.Home(key(i), toAnywhere, w.all).Upstream)
+		is.Equal(c.Home(key(i), anyRequest, f.all).Upstream, d.Home(key(i), anyRequest, f.all).Upstream)
 	}
 }
 
-// Looking through the most keys that are kept.
+// BenchmarkForget measures a pass over the maximum number of keys.
 func BenchmarkForget(b *testing.B) {
-	w := newWorld(24)
-	a := w.assigner("east")
+	f := newFixture(24)
+	a := f.assigner("east")
 	for i := range assigner.MaxKeys {
-		a.Home(key(i), toAnywhere, w.all)
+		a.Home(key(i), anyRequest, f.all)
 	}
 	for b.Loop() {
 		a.Forget()
 	}
 }
 
-// The home of a key that has one.
+// BenchmarkHome measures the lookup of an existing home.
 func BenchmarkHome(b *testing.B) {
 	for _, n := range []int{24, 96, 621} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := newWorld(n)
-			a := w.assigner("east")
+			f := newFixture(n)
+			a := f.assigner("east")
 			k := key(1)
 			for b.Loop() {
-				a.Home(k, toAnywhere, w.all)
+				a.Home(k, anyRequest, f.all)
 			}
 		})
 	}
 }
 
-// The load: two failure domains in turn give up their upstreams and get them back, as
-// planned work does. Keys that had to leave once find upstreams that know them from the
-// second time on: of 200 keys a few run anew, where without a memory of former homes all
-// that leave do.
+// TestKeysGoBackToWhereTheyAreKnown takes the upstreams of two failure domains away in turn
+// and returns them, as planned maintenance does. From the second time on, keys that must leave
+// their home find upstreams that know them: only a few of 200 keys run uncached, while without
+// former homes all that leave do.
 func TestKeysGoBackToWhereTheyAreKnown(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(16)
-	a := w.assigner("east")
+	f := newFixture(16)
+	a := f.assigner("east")
 	a.Regions = []string{"east"}
 	ran := map[hasher.Hash]map[*cataloger.Upstream]bool{}
-	// ask runs all keys on what is left and returns how many ran where they never had.
+	// ask runs all keys on the given upstreams and returns how many ran on one for the first
+	// time.
 	ask := func(all []*cataloger.Upstream) (anew int) {
 		for i := range 200 {
-			w.now += 5
-			u := a.Home(key(i), toAnywhere, all).Upstream
+			f.now += 5
+			u := a.Home(key(i), anyRequest, all).Upstream
 			if !ran[key(i)][u] {
 				anew++
 			}
@@ -259,65 +262,66 @@
 		}
 		return anew
 	}
-	first, second := w.all[:8], w.all[8:]
-	is.Equal(ask(w.all), 200)
+	first, second := f.all[:8], f.all[8:]
+	is.Equal(ask(f.all), 200)
 	left := ask(first) // about half of them lived in the second
 	is.True(left > 60)
-	ask(w.all)
+	ask(f.all)
 	ask(second)
-	ask(w.all)
+	ask(f.all)
 	is.True(ask(first) <= left/4)
-	ask(w.all)
+	ask(f.all)
 	is.True(ask(second) <= left/4)
 }
 
-// TestVisitsAreRemembered has keys run beside their home, more often than is kept.
+// TestVisitsAreRemembered records more runs at other upstreams than are kept.
 func TestVisitsAreRemembered(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(8)
-	a := w.assigner("east")
-	h := a.Home(key(1), toAnywhere, w.all).Upstream
+	f := newFixture(8)
+	a := f.assigner("east")
+	h := a.Home(key(1), anyRequest, f.all).Upstream
 	var others []*cataloger.Upstream
-	for _, u := range w.all {
+	for _, u := range f.all {
 		if u != h {
 			others = append(others, u)
 		}
 	}
 	a.Visit(key(1), h) // its home is none
-	is.Equal(len(a.Former(nil, key(1), w.all, anywhere)), 0)
+	is.Equal(len(a.Former(nil, key(1), f.all, anyRegion)), 0)
 	for _, u := range others[:4] {
 		a.Visit(key(1), u)
 	}
 	a.Visit(key(1), others[2])
-	is.Equal(a.Former(nil, key(1), w.all, anywhere), []*cataloger.Upstream{others[2], others[3], others[1]})
-	is.Equal(a.Former(nil, key(1), w.all, func(string) bool { return false }), nil)
-	is.Equal(a.Former(nil, key(2), w.all, anywhere), nil)
+	is.Equal(a.Former(nil, key(1), f.all, anyRegion), []*cataloger.Upstream{others[2], others[3], others[1]})
+	is.Equal(a.Former(nil, key(1), f.all, func(string) bool { return false }), nil)
+	is.Equal(a.Former(nil, key(2), f.all, anyRegion), nil)
 }
 
-// The load: a region with 2 of 16 upstreams and a third of the callers, who ask by three
-// routes, the tightest the least often. All keys of the tightest route live in the region,
-// the loosest go elsewhere, and no more of the work stays than the region carries.
+// TestTightRoutesStayNear has a region with 2 of 16 upstreams and a third of the callers, who
+// use three routes, the tightest one the least. All keys of the tightest route have their home
+// in the region, those of the loosest in others, and no more of the work stays than the region
+// can serve.
 func TestTightRoutesStayNear(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2, 7, 7)
-	a := w.assigner("east")
+	f := newFixture(2, 7, 7)
+	a := f.assigner("east")
 	routes := []struct {
 		request assigner.Request
 		asked   int
 	}{
-		{assigner.Request{Service: "s", Route: "confirm", Objective: 250, Allowed: anywhere}, 1},
-		{assigner.Request{Service: "s", Route: "fetch", Objective: 300, Allowed: anywhere}, 6},
-		{assigner.Request{Service: "s", Route: "publish", Objective: 400, Allowed: anywhere}, 3},
+		{assigner.Request{Service: "s", Route: "confirm", Objective: 250, Allowed: anyRegion}, 1},
+		{assigner.Request{Service: "s", Route: "fetch", Objective: 300, Allowed: anyRegion}, 6},
+		{assigner.Request{Service: "s", Route: "publish", Objective: 400, Allowed: anyRegion}, 3},
 	}
 	asked, near, work, nearWork := map[string]int{}, map[string]int{}, 0.0, 0.0
 	for i := range 4000 {
-		w.now += 5
+		f.now += 5
 		at := i % 10
 		for _, r := range routes {
 			if at -= r.asked; at >= 0 {
 				continue
 			}
-			stays := a.Home(key(i), r.request, w.all).Upstream.Site.Region() == "east"
+			stays := a.Home(key(i), r.request, f.all).Upstream.Site.Region() == "east"
 			if i < 1000 {
 				break // what routes there are is not known at first
 			}
--- a/internal/request/assigner/doc.go
+++ b/internal/request/assigner/doc.go
@@ -1,14 +1,14 @@
-// Package assigner gives each key a home: the upstream that runs its requests and
-// so remembers it.
+// Package assigner assigns each key a home: the upstream that runs its requests and so has the
+// key in its cache.
 //
-// A hash alone puts up to twice the mean number of keys on an upstream. Where a key
-// that is not remembered costs three times the work, the upstreams with most keys
-// then decide how long a cold start lasts and who waits at the peak. So a new key
-// goes to the least loaded of the few upstreams that its hash prefers, and a key
-// moves away from an upstream that has far more than others, a few at a time. The
-// daemons of a region tell each other of homes; where they differ for a moment, a
-// key is run at two places, which costs time and breaks nothing.
+// Hashing alone puts up to twice the mean number of keys on an upstream. When a key that is
+// not cached costs three times the work, the upstreams with the most keys then determine how
+// long a cold start takes and which requests wait at peak load. A new key is therefore
+// assigned to the least loaded of the few upstreams that its hash prefers, and keys move, a
+// few at a time, from an upstream that has far more load than others. The daemons of a region
+// announce homes to each other. While they briefly disagree, a key runs at two upstreams,
+// which costs time but is harmless.
 //
-// Where a region has fewer upstreams than its callers need, some of their keys live in
-// others: those of the routes that lose least by the way there.
+// When a region has fewer upstreams than its callers need, some of their keys have their home
+// in other regions, starting with the routes that lose least by the longer round trip.
 package assigner
--- a/internal/request/assigner/former.go
+++ b/internal/request/assigner/former.go
@@ -8,21 +8,21 @@
 	"github.com/gullvale/gullvale/pkg/hasher"
 )
 
-// FormerLength is how many upstreams beside its home a key is remembered to have run at.
-// An upstream remembers a few dozen keys, several times what it is home to, so a key that
-// has to leave its home mostly finds one that knows it among the last three: a short
-// history of moves tells more than the latest one alone, as in Hint-K (k-step hints for
-// multi-level caches). Without it a key that left went to the least loaded upstream, for
-// three times the work: +0.0025 ± 0.0009 of the value of what was asked, in 24 paired days
-// with trouble and load. How long ago the key ran there makes no difference: limits of 8 s,
-// 30 s and none gave +0.0020, +0.0022 and +0.0029, ± 0.0012, in 36 days.
+// FormerLength is the number of upstreams besides its home that a key is remembered to have
+// run at. An upstream caches a few dozen keys, several times the number it is home to, so a
+// key that must leave its home mostly finds an upstream that still knows it among its last
+// three. As in Hint-K (k-step hints for multi-level caches), a short history of moves predicts
+// better than the latest one alone. Without it, a key that left went to the least loaded
+// upstream, for three times the work: +0.0025 ± 0.0009 of the value of all requests, in 24
+// paired days with faults and load. An age limit on the entries makes no difference: limits of
+// 8 s, 30 s and none gave +0.0020, +0.0022 and +0.0029, ± 0.0012, in 36 days.
 const FormerLength = 3
 
-// former are upstreams by their hashes, the latest first.
-type former [FormerLength]hasher.Hash
+// formerHomes are hashes of upstreams, the latest first; 0 marks an unused element.
+type formerHomes [FormerLength]hasher.Hash
 
-// note puts an upstream first.
-func (f *former) note(upstream hasher.Hash) {
+// record moves an upstream to the front, or adds it there.
+func (f *formerHomes) record(upstream hasher.Hash) {
 	i := slices.Index(f[:], upstream)
 	if i < 0 {
 		i = FormerLength - 1
@@ -31,40 +31,41 @@
 	f[0] = upstream
 }
 
-// has tells whether an upstream is one of them.
-func (f *former) has(upstream hasher.Hash) bool {
+// contains reports whether the list has an upstream.
+func (f *formerHomes) contains(upstream hasher.Hash) bool {
 	return slices.Contains(f[:], upstream)
 }
 
-// Former appends to l the upstreams that ran a key lately beside its home.
+// Former appends to l the upstreams other than its home that ran a key recently.
 func (a *Assigner) Former(l []*cataloger.Upstream, key hasher.Hash, all []*cataloger.Upstream, allowed func(region string) bool) []*cataloger.Upstream {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	if h := a.homes[key]; h != nil {
-		l = a.known(l, h, all, allowed)
+		l = a.formerUpstreams(l, h, all, allowed)
 	}
 	return l
 }
 
-// Knows tells whether a key ran lately at an upstream beside its home.
+// Knows reports whether an upstream other than its home ran a key recently.
 func (a *Assigner) Knows(key hasher.Hash, u *cataloger.Upstream) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	h := a.homes[key]
-	return h != nil && h.former.has(u.Hash())
+	return h != nil && h.former.contains(u.Hash())
 }
 
-// Visit notes that a key runs at an upstream that is not its home.
+// Visit records that a key runs at an upstream that is not its home.
 func (a *Assigner) Visit(key hasher.Hash, u *cataloger.Upstream) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	if h := a.homes[key]; h != nil && h.upstream != u.Hash() {
-		h.former.note(u.Hash())
+		h.former.record(u.Hash())
 	}
 }
 
-// known appends to l the upstreams that are likely to know a key beside its home h.
-func (a *Assigner) known(l []*cataloger.Upstream, h *home, all []*cataloger.Upstream, allowed func(string) bool) []*cataloger.Upstream {
+// formerUpstreams appends to l the upstreams other than the home h that are likely to know the
+// key.
+func (a *Assigner) formerUpstreams(l []*cataloger.Upstream, h *home, all []*cataloger.Upstream, allowed func(string) bool) []*cataloger.Upstream {
 	if a.Without.Has(switcher.FormerHomes) {
 		return l
 	}
@@ -72,7 +73,7 @@
 		if f == 0 || f == h.upstream {
 			continue
 		}
-		if u := find(all, f, allowed); u != nil {
+		if u := findUpstream(all, f, allowed); u != nil {
 			l = append(l, u)
 		}
 	}
--- a/internal/request/assigner/load_test.go
+++ b/internal/request/assigner/load_test.go
@@ -13,65 +13,65 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// The load: 300 requests a second for 450 keys, 640 ms of work for an upstream that
-// does not know the key and 192 ms for one that does, on 24 upstreams with 6 slots
-// that remember 37 keys each. Then 8 upstreams are lost and all memory with them:
-// what is left carries the load at 58 of 96 slots once keys are known, and at twice
-// its slots while they are not.
+// The simulated load: 300 requests a second for 450 keys on 24 upstreams with 6 slots that
+// cache 37 keys each. A request takes 640 ms on an upstream that does not know its key and 192
+// ms on one that does. Then 8 upstreams are lost and the caches of the others cleared: the
+// remaining ones need 58 of their 96 slots once keys are cached, and twice their slots until
+// then.
 const (
-	loadKeys   = 450
-	perSecond  = 300
-	coldWork   = 640
-	warmWork   = 192
-	loadSlots  = 6
-	memorySize = 37
-	objective  = 500
-	lostAt     = 10_000
-	judgedFrom = 25_000
-	loadEnd    = 30_000
+	loadKeys       = 450
+	loadPerSecond  = 300
+	coldWork       = 640
+	warmWork       = 192
+	loadSlots      = 6
+	upstreamMemory = 37
+	objective      = 500
+	lostAt         = 10_000
+	measuredFrom   = 25_000
+	loadEnd        = 30_000
 )
 
 type (
-	// job is one request in the model.
+	// job is one request in the simulation.
 	job struct {
 		key     hasher.Hash
 		arrived timekeeper.Millis
-		ends    timekeeper.Millis
+		endsAt  timekeeper.Millis
 	}
 
-	// machine is an upstream in the model.
-	machine struct {
+	// simUpstream is an upstream in the simulation.
+	simUpstream struct {
 		running []*job
-		line    []*job
+		queue   []*job
 		known   []hasher.Hash
 	}
 
-	// policy picks an upstream for a key, nil for a refusal.
+	// policy selects an upstream for a key, nil to refuse the request.
 	policy func(key hasher.Hash, all []*cataloger.Upstream, states func([]*cataloger.Upstream) []placer.State) *cataloger.Upstream
 )
 
-// step lets time pass at a machine and returns what ended.
-func (m *machine) step(now timekeeper.Millis) (ended []*job) {
+// step advances the upstream to a time and returns the jobs that finished.
+func (m *simUpstream) step(now timekeeper.Millis) (ended []*job) {
 	kept := m.running[:0]
 	for _, j := range m.running {
-		if j.ends <= now {
+		if j.endsAt <= now {
 			ended = append(ended, j)
 		} else {
 			kept = append(kept, j)
 		}
 	}
 	m.running = kept
-	for len(m.running) < loadSlots && len(m.line) > 0 {
-		j := m.line[0]
-		m.line = m.line[1:]
-		j.ends = now + m.work(j.key)
+	for len(m.running) < loadSlots && len(m.queue) > 0 {
+		j := m.queue[0]
+		m.queue = m.queue[1:]
+		j.endsAt = now + m.serviceTime(j.key)
 		m.running = append(m.running, j)
 	}
 	return ended
 }
 
-// work returns how long a key takes and remembers it.
-func (m *machine) work(key hasher.Hash) timekeeper.Millis {
+// serviceTime returns how long a key takes and caches it.
+func (m *simUpstream) serviceTime(key hasher.Hash) timekeeper.Millis {
 	for i, k := range m.known {
 		if k == key {
 			m.known = append(append(m.known[:i], m.known[i+1:]...), key)
@@ -79,61 +79,60 @@
 		}
 	}
 	m.known = append(m.known, key)
-	if len(m.known) > memorySize {
+	if len(m.known) > upstreamMemory {
 		m.known = m.known[1:]
 	}
 	return coldWork
 }
 
-// play returns the share of the requests of the last seconds that were answered in
-// time.
-func play(w *world, p policy) float64 {
+// simulate returns the share of the requests in the last seconds that got a response in time.
+func simulate(f *fixture, p policy) float64 {
 	r := rand.New(rand.NewPCG(5, 6))
-	machines := map[*cataloger.Upstream]*machine{}
-	for _, u := range w.all {
-		machines[u] = &machine{}
+	upstreams := map[*cataloger.Upstream]*simUpstream{}
+	for _, u := range f.all {
+		upstreams[u] = &simUpstream{}
 	}
-	all := w.all
+	all := f.all
 	states := func(l []*cataloger.Upstream) (s []placer.State) {
 		for _, u := range l {
-			m := machines[u]
-			s = append(s, placer.State{Slots: loadSlots, Reported: float64(len(m.running) + len(m.line))})
+			m := upstreams[u]
+			s = append(s, placer.State{Slots: loadSlots, Reported: float64(len(m.running) + len(m.queue))})
 		}
 		return s
 	}
 	asked, inTime := 0, 0
-	for w.now = 0; w.now < loadEnd; w.now++ {
-		if w.now == lostAt {
+	for f.now = 0; f.now < loadEnd; f.now++ {
+		if f.now == lostAt {
 			all = all[:16]
 			for _, u := range all {
-				*machines[u] = machine{}
+				*upstreams[u] = simUpstream{}
 			}
 		}
 		for _, u := range all {
-			for _, j := range machines[u].step(w.now) {
-				if j.arrived >= judgedFrom && j.arrived < loadEnd-objective && w.now-j.arrived <= objective {
+			for _, j := range upstreams[u].step(f.now) {
+				if j.arrived >= measuredFrom && j.arrived < loadEnd-objective && f.now-j.arrived <= objective {
 					inTime++
 				}
 			}
 		}
-		if r.IntN(1000) >= perSecond {
+		if r.IntN(1000) >= loadPerSecond {
 			continue
 		}
-		if w.now >= judgedFrom && w.now < loadEnd-objective {
+		if f.now >= measuredFrom && f.now < loadEnd-objective {
 			asked++
 		}
 		k := key(r.IntN(loadKeys))
 		if u := p(k, all, states); u != nil {
-			m := machines[u]
-			m.line = append(m.line, &job{key: k, arrived: w.now})
+			m := upstreams[u]
+			m.queue = append(m.queue, &job{key: k, arrived: f.now})
 		}
 	}
 	return float64(inTime) / float64(asked)
 }
 
-// visits sends a key to the next upstream of its list while the first is full.
-func visits(k hasher.Hash, all []*cataloger.Upstream, states func([]*cataloger.Upstream) []placer.State) *cataloger.Upstream {
-	list := placer.List(nil, k, all, anywhere)
+// visitPolicy sends a key to the next upstream of its candidates while the first is full.
+func visitPolicy(k hasher.Hash, all []*cataloger.Upstream, states func([]*cataloger.Upstream) []placer.State) *cataloger.Upstream {
+	list := placer.Candidates(nil, k, all, anyRegion)
 	i, _ := placer.Placer{}.Choose(states(list), true)
 	if i >= 0 {
 		return list[i]
@@ -141,11 +140,11 @@
 	return nil
 }
 
-// homes keeps a key at its home, or moves it.
-func homes(a *assigner.Assigner) policy {
+// homePolicy keeps a key at its home or moves it.
+func homePolicy(a *assigner.Assigner) policy {
 	return func(k hasher.Hash, all []*cataloger.Upstream, states func([]*cataloger.Upstream) []placer.State) *cataloger.Upstream {
-		list := []*cataloger.Upstream{a.Home(k, toAnywhere, all).Upstream}
-		for _, u := range placer.List(nil, k, all, anywhere) {
+		list := []*cataloger.Upstream{a.Home(k, anyRequest, all).Upstream}
+		for _, u := range placer.Candidates(nil, k, all, anyRegion) {
 			if u != list[0] {
 				list = append(list, u)
 			}
@@ -158,14 +157,14 @@
 	}
 }
 
-// Service returns to what it was after a loss, while keys that visit upstreams keep
-// all of them overloaded.
+// TestServiceReturnsAfterALoss checks that service recovers after a loss of upstreams with
+// homes, while keys that run at other upstreams without moving keep all of them overloaded.
 func TestServiceReturnsAfterALoss(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(24)
-	byVisits := play(w, visits)
-	w = newWorld(24)
-	byHomes := play(w, homes(w.assigner("east")))
+	f := newFixture(24)
+	byVisits := simulate(f, visitPolicy)
+	f = newFixture(24)
+	byHomes := simulate(f, homePolicy(f.assigner("east")))
 	t.Logf("in time 15 s after the loss: with visits %.2f, with homes %.2f", byVisits, byHomes)
 	is.True(byHomes > 0.95)
 	is.True(byVisits < byHomes-0.2)
--- a/internal/request/assigner/placement.go
+++ b/internal/request/assigner/placement.go
@@ -6,62 +6,62 @@
 )
 
 type (
-	// Reason says why an upstream was the choice for a request.
+	// Reason is the reason an upstream was selected for a request.
 	Reason string
 
-	// Placement is the upstream that was chosen for a request, and why. It goes by value
-	// and allocates nothing: BenchmarkHome has 0 B/op.
+	// Placement is the upstream selected for a request, and why. It is passed by value and
+	// allocates nothing: BenchmarkHome reports 0 B/op.
 	Placement struct {
-		// Upstream is nil if none takes the request.
+		// Upstream is nil if no upstream takes the request.
 		Upstream *cataloger.Upstream
 		Reason   Reason
-		// Former tells that the key ran at the upstream before and lived elsewhere since.
+		// Former reports that the upstream ran the key before, as an earlier home or besides its
+		// home.
 		Former bool
-		// Left is the home that the key left, as it was last seen here. It is nil if the
-		// key left none, or one that no request of this daemon has found.
+		// Left is the home that the key moved from, as this daemon last saw it. It is nil if
+		// the key did not move, or if no request of this daemon used that home.
 		Left *cataloger.Upstream
 	}
 )
 
-// The reasons for a choice. Home and Move give those about homes; the others are of
-// requests that go elsewhere, which is not decided here.
+// The reasons for a placement. Home and Move return those about homes; callers set the others,
+// for requests that run elsewhere.
 const (
-	// NotPlaced is for requests that no upstream took.
+	// NotPlaced means that no upstream took the request.
 	NotPlaced Reason = ""
-	// AtHome is for the home as it was known here before.
+	// AtHome means that the key already had this home.
 	AtHome Reason = "home"
-	// NewKey is for a key without a known home, which got one now.
+	// NewKey means that the key had no known home and was assigned one.
 	NewKey Reason = "new key"
-	// Unkept is for a key beyond MaxKeys, which goes by its hash.
+	// Unkept means that the key exceeds MaxKeys and is placed by its hash.
 	Unkept Reason = "unkept key"
-	// Relieved is for a key that moved away from a crowded home.
+	// Relieved means that the key moved from a crowded home.
 	Relieved Reason = "crowded home"
-	// Displaced is for a key whose home takes no work any more.
+	// Displaced means that the key's home no longer takes requests.
 	Displaced Reason = "home gone"
-	// Barred is for a key whose home is in a region where the route may not run now.
+	// Barred means that the key's home is in a region where the route may not run now.
 	Barred Reason = "home not allowed"
-	// Overflowed is for a key that moved away from a home with too many requests.
+	// Overflowed means that the key moved from a home with too many requests.
 	Overflowed Reason = "home full"
-	// Visiting is for a request that runs beside its key's home, which is down, failing
-	// or cold. The key stays at home.
+	// Visiting means that the request runs at another upstream because its key's home is down,
+	// failing or cold. The home does not change.
 	Visiting Reason = "home passed over"
-	// Repeated is for a sending after one that was refused or broken, at any upstream but
-	// the same one.
+	// Repeated means a retry at another upstream, after an attempt that was refused or broke.
 	Repeated Reason = "repeat elsewhere"
-	// RepeatedThere is for a sending after one that was refused at the same upstream.
+	// RepeatedThere means a retry at the upstream that refused the previous attempt.
 	RepeatedThere Reason = "repeat there"
-	// Keyless is for a request without a key, or of a route that keeps to no homes: it
-	// goes by its hash.
+	// Keyless means that the request has no key, or its route does not use homes: it is placed
+	// by its hash.
 	Keyless Reason = "no key"
-	// Isolated is for a request that crashed upstreams before: it goes by its own hash, away
-	// from those of its key.
+	// Isolated means that the request crashed upstreams before: it is placed by its own hash,
+	// away from other requests of its key.
 	Isolated Reason = "suspect"
 )
 
-// FormerSuffix marks, among the kinds of placements, those at a former home.
+// FormerSuffix is appended to the kind of placements at a former home.
 const FormerSuffix = ", former home"
 
-// Kind is the reason, and whether the key ran at the upstream before.
+// Kind returns the reason, with FormerSuffix if the key ran at the upstream before.
 func (p Placement) Kind() string {
 	if p.Former {
 		return string(p.Reason) + FormerSuffix
@@ -69,24 +69,24 @@
 	return string(p.Reason)
 }
 
-// left returns the home that h had, if a request of this daemon has found it there.
-func (h *home) left() *cataloger.Upstream {
-	if h.seen == nil || h.seen.Hash() != h.upstream {
+// lastSeenHome returns the current home of h, or nil if no request of this daemon used it.
+func (h *home) lastSeenHome() *cataloger.Upstream {
+	if h.lastSeen == nil || h.lastSeen.Hash() != h.upstream {
 		return nil
 	}
-	return h.seen
+	return h.lastSeen
 }
 
-// moveFor moves a key and says what that means for the request that made it move.
-func (a *Assigner) moveFor(why Reason, key hasher.Hash, h *home, to *cataloger.Upstream) Placement {
-	p := Placement{Upstream: to, Reason: why, Former: h.former.has(to.Hash()), Left: h.left()}
+// moveWithReason moves a key and returns the placement of the request that caused the move.
+func (a *Assigner) moveWithReason(why Reason, key hasher.Hash, h *home, to *cataloger.Upstream) Placement {
+	p := Placement{Upstream: to, Reason: why, Former: h.former.contains(to.Hash()), Left: h.lastSeenHome()}
 	a.move(key, h, to)
 	return p
 }
 
-// lost says why a key can't stay at its home.
-func (h *home) lost(all []*cataloger.Upstream) Reason {
-	if find(all, h.upstream, anyRegion) != nil {
+// lossReason returns why a key can't stay at its home.
+func (h *home) lossReason(all []*cataloger.Upstream) Reason {
+	if findUpstream(all, h.upstream, anyRegion) != nil {
 		return Barred
 	}
 	return Displaced
--- a/internal/request/assigner/region.go
+++ b/internal/request/assigner/region.go
@@ -6,26 +6,26 @@
 	"github.com/gullvale/gullvale/pkg/hasher"
 )
 
-// regionSalt keeps the choice of a region apart from that of an upstream.
+// regionSalt makes the choice of a region independent of that of an upstream.
 const regionSalt hasher.Hash = 0x72656769
 
 type (
-	// regionShare is the part of one region's keys that another region takes.
+	// regionShare is the fraction of one region's keys that is assigned to a region.
 	regionShare struct {
-		region string
-		hash   hasher.Hash
-		part   float64
+		region   string
+		hash     hasher.Hash
+		fraction float64
 	}
 
-	// spread divides the keys of the callers of a region among regions.
-	spread []regionShare
+	// regionSplit distributes the keys of a region's callers among regions.
+	regionSplit []regionShare
 )
 
-// spread divides the keys of a request's route among regions such that all regions are
-// loaded in proportion to their slots if each region has the same demand, and as many keys
-// as possible stay where their callers are, those of the tightest routes first. Demand
-// differs and changes; keys that overload a region are moved one by one.
-func (a *Assigner) spread(r Request, all []*cataloger.Upstream) spread {
+// splitByRegion distributes the keys of a request's route among regions so that, if each
+// region had the same demand, all of them would be loaded in proportion to their slots. As
+// many keys as possible stay in the region of their callers, those of the tightest routes
+// first. Actual demand differs and changes; keys that overload a region are moved one by one.
+func (a *Assigner) splitByRegion(r Request, all []*cataloger.Upstream) regionSplit {
 	slots, total := map[string]float64{}, 0.0
 	for _, u := range all {
 		slots[u.Site.Region()] += float64(max(u.Slots, 1))
@@ -34,40 +34,40 @@
 	if total == 0 {
 		return nil
 	}
-	even := 1 / float64(max(len(a.Regions), 1))
-	spare, spares := map[string]float64{}, 0.0
+	fairShare := 1 / float64(max(len(a.Regions), 1))
+	spare, totalSpare := map[string]float64{}, 0.0
 	for name, n := range slots {
-		spare[name] = max(n/total-even, 0)
-		spares += spare[name]
+		spare[name] = max(n/total-fairShare, 0)
+		totalSpare += spare[name]
 	}
-	own := min(slots[a.Region]/total/even, 1)
-	if own > 0 && own < 1 && spares > 0 && !a.Without.Has(switcher.TightRoutes) {
-		own = a.demands[r.Service].share(r.Route, own)
+	own := min(slots[a.Region]/total/fairShare, 1)
+	if own > 0 && own < 1 && totalSpare > 0 && !a.Without.Has(switcher.TightRoutes) {
+		own = a.demands[r.Service].localShare(r.Route, own)
 	}
-	var s spread
+	var s regionSplit
 	for name := range slots {
-		part := 0.0
-		if spares > 0 {
-			part = (1 - own) * spare[name] / spares
+		fraction := 0.0
+		if totalSpare > 0 {
+			fraction = (1 - own) * spare[name] / totalSpare
 		}
 		if name == a.Region {
-			part += own
+			fraction += own
 		}
-		if part > 0 {
-			s = append(s, regionShare{name, hasher.OfString(name), part})
+		if fraction > 0 {
+			s = append(s, regionShare{name, hasher.OfString(name), fraction})
 		}
 	}
 	return s
 }
 
-// home picks the region of a key, "" for none. A share that grows takes keys from
-// the others and moves none besides.
-func (s spread) home(key hasher.Hash) string {
-	best, least := "", 0.0
+// regionOf returns the region of a key, "" for none. A region whose fraction grows takes keys
+// from the others and causes no other moves.
+func (s regionSplit) regionOf(key hasher.Hash) string {
+	best, minDistance := "", 0.0
 	for _, r := range s {
-		d := hasher.Distance(hasher.Mix(key, regionSalt), r.hash, 1/r.part)
-		if best == "" || d < least {
-			best, least = r.region, d
+		d := hasher.Distance(hasher.Mix(key, regionSalt), r.hash, 1/r.fraction)
+		if best == "" || d < minDistance {
+			best, minDistance = r.region, d
 		}
 	}
 	return best
--- a/internal/request/assigner/shed_test.go
+++ b/internal/request/assigner/shed_test.go
@@ -13,43 +13,42 @@
 	"github.com/gullvale/gullvale/pkg/hasher"
 )
 
-// The load: 200 requests a second for 450 keys on 24 upstreams that all refuse 55% of
-// what they get for ten seconds, though they have room. A refused request is sent once
-// more. What is admitted is 72% of 58 slots' work of 144 while keys run where they are
-// known.
+// The simulated load: 200 requests a second for 450 keys on 24 upstreams, which all refuse 55%
+// of their requests for ten seconds although they have room. A refused request is retried
+// once. The admitted requests, 72%, need 58 of 144 slots while keys run where they are known.
 const (
 	shedPerSecond = 200
 	shedShare     = 0.55
 	shedFrom      = 8_000
 	shedEnd       = 18_000
-	shedTries     = 2
+	shedAttempts  = 2
 )
 
-// shedWorld is upstreams that refuse, with what an entry knows of them.
-type shedWorld struct {
-	*world
-	homes    *assigner.Assigner
-	known    *tracker.Set
-	machines map[*cataloger.Upstream]*machine
-	random   *rand.Rand
-	// strays is whether a refused request leaves its home for any other upstream.
-	strays bool
+// shedFixture holds upstreams that refuse requests and what an entry knows about them.
+type shedFixture struct {
+	*fixture
+	homes     *assigner.Assigner
+	known     *tracker.Set
+	upstreams map[*cataloger.Upstream]*simUpstream
+	random    *rand.Rand
+	// leavesHome makes a refused request leave its home for any other upstream.
+	leavesHome bool
 }
 
-// choose picks the upstream of one sending.
-func (s *shedWorld) choose(k hasher.Hash, refused *cataloger.Upstream) *cataloger.Upstream {
-	list := []*cataloger.Upstream{s.homes.Home(k, toAnywhere, s.all).Upstream}
-	for _, u := range placer.List(nil, k, s.all, anywhere) {
+// choose selects the upstream of one attempt.
+func (s *shedFixture) choose(k hasher.Hash, refused *cataloger.Upstream) *cataloger.Upstream {
+	list := []*cataloger.Upstream{s.homes.Home(k, anyRequest, s.all).Upstream}
+	for _, u := range placer.Candidates(nil, k, s.all, anyRegion) {
 		if u != list[0] {
 			list = append(list, u)
 		}
 	}
 	var states []placer.State
 	for i, u := range list {
-		m := s.machines[u]
+		m := s.upstreams[u]
 		x := s.known.Of(u).State(u)
-		x.Reported = float64(len(m.running) + len(m.line))
-		if s.strays {
+		x.Reported = float64(len(m.running) + len(m.queue))
+		if s.leavesHome {
 			x.Tried = u == refused
 			x.FailShare = float64(1 - min(i, 1))
 		}
@@ -62,10 +61,10 @@
 	return list[i]
 }
 
-// send sends a request, once more if it is refused.
-func (s *shedWorld) send(k hasher.Hash) {
+// send sends a request and retries it once if it is refused.
+func (s *shedFixture) send(k hasher.Hash) {
 	var refused *cataloger.Upstream
-	for range shedTries {
+	for range shedAttempts {
 		u := s.choose(k, refused)
 		if u == nil {
 			return
@@ -76,31 +75,31 @@
 		shed := s.now >= shedFrom && s.now < shedEnd && s.random.Float64() < shedShare
 		t.Reached(shed)
 		if !shed {
-			m := s.machines[u]
-			m.line = append(m.line, &job{key: k, arrived: s.now})
+			m := s.upstreams[u]
+			m.queue = append(m.queue, &job{key: k, arrived: s.now})
 			return
 		}
 		refused = u
 	}
 }
 
-// playShed returns the share of the requests sent while upstreams refuse that were
-// answered in time.
-func playShed(strays bool) float64 {
-	w := newWorld(24)
-	s := &shedWorld{
-		world: w, homes: w.assigner("east"), known: &tracker.Set{Clock: w.clock()},
-		machines: map[*cataloger.Upstream]*machine{}, random: rand.New(rand.NewPCG(7, 8)), strays: strays,
+// simulateShed returns the share of the requests sent while upstreams refuse that got a
+// response in time.
+func simulateShed(leavesHome bool) float64 {
+	f := newFixture(24)
+	s := &shedFixture{
+		fixture: f, homes: f.assigner("east"), known: &tracker.Set{Clock: f.clock()},
+		upstreams: map[*cataloger.Upstream]*simUpstream{}, random: rand.New(rand.NewPCG(7, 8)), leavesHome: leavesHome,
 	}
-	for _, u := range w.all {
-		s.machines[u] = &machine{}
+	for _, u := range f.all {
+		s.upstreams[u] = &simUpstream{}
 	}
 	asked, inTime := 0, 0
 	judged := func(j *job) bool { return j.arrived >= shedFrom && j.arrived < shedEnd }
-	for w.now = 0; w.now < shedEnd+objective; w.now++ {
-		for _, u := range w.all {
-			for _, j := range s.machines[u].step(w.now) {
-				if judged(j) && w.now-j.arrived <= objective {
+	for f.now = 0; f.now < shedEnd+objective; f.now++ {
+		for _, u := range f.all {
+			for _, j := range s.upstreams[u].step(f.now) {
+				if judged(j) && f.now-j.arrived <= objective {
 					inTime++
 				}
 			}
@@ -108,7 +107,7 @@
 		if s.random.IntN(1000) >= shedPerSecond {
 			continue
 		}
-		if w.now >= shedFrom && w.now < shedEnd {
+		if f.now >= shedFrom && f.now < shedEnd {
 			asked++
 		}
 		s.send(key(s.random.IntN(loadKeys)))
@@ -116,12 +115,12 @@
 	return float64(inTime) / float64(asked)
 }
 
-// Requests that upstreams with room refuse are better sent to their home again than
-// to one that does not know their key.
+// TestRefusedRequestsStayAtHome checks that requests refused by upstreams with room are better
+// retried at their home than at an upstream that does not know their key.
 func TestRefusedRequestsStayAtHome(t *testing.T) {
 	is := is.New(t)
-	astray, home := playShed(true), playShed(false)
-	t.Logf("in time while all refuse 55%%: elsewhere %.2f, at home %.2f", astray, home)
+	elsewhere, home := simulateShed(true), simulateShed(false)
+	t.Logf("in time while all refuse 55%%: elsewhere %.2f, at home %.2f", elsewhere, home)
 	is.True(home > 0.6)
-	is.True(astray < home-0.1)
+	is.True(elsewhere < home-0.1)
 }
--- a/internal/request/assigner/without_test.go
+++ b/internal/request/assigner/without_test.go
@@ -10,17 +10,17 @@
 	"github.com/gullvale/gullvale/internal/version/cataloger"
 )
 
-// TestSwitchedOff plays the load that each mechanism answers and counts how often it acts:
-// with all mechanisms it does, and without it never.
+// TestSwitchedOff applies the load that each mechanism handles and counts how often it acts:
+// more than never with all mechanisms, never without it.
 func TestSwitchedOff(t *testing.T) {
 	tests := []struct {
 		mechanism switcher.Mechanism
 		acts      func(without switcher.Set) int
 	}{
-		{switcher.Moves, movesFromCrowded},
-		{switcher.FormerHomes, formerHomes},
-		{switcher.TightRoutes, loosestAway},
-		{switcher.HomeRegions, keptNear},
+		{switcher.Moves, countMoves},
+		{switcher.FormerHomes, countFormerHomes},
+		{switcher.TightRoutes, loosestRouteLeaves},
+		{switcher.HomeRegions, allKeysLocal},
 	}
 	for _, tt := range tests {
 		t.Run(tt.mechanism.String(), func(t *testing.T) {
@@ -31,82 +31,82 @@
 	}
 }
 
-func (w *world) without(region string, s switcher.Set) *assigner.Assigner {
-	a := w.assigner(region)
+func (f *fixture) assignerWithout(region string, s switcher.Set) *assigner.Assigner {
+	a := f.assigner(region)
 	a.Without = s
 	return a
 }
 
-// movesFromCrowded returns how many keys leave a home that has all the load, by
-// themselves and when asked to.
-func movesFromCrowded(s switcher.Set) (moved int) {
-	w := newWorld(4)
-	a := w.without("east", s)
-	hot := a.Home(key(0), toAnywhere, w.all).Upstream
+// countMoves returns how many keys leave a home that has all the load, by relief and by Move.
+func countMoves(s switcher.Set) (moved int) {
+	f := newFixture(4)
+	a := f.assignerWithout("east", s)
+	hot := a.Home(key(0), anyRequest, f.all).Upstream
 	var kept []int
 	for i := range 200 {
-		if a.Home(key(i), toAnywhere, w.all).Upstream == hot {
+		if a.Home(key(i), anyRequest, f.all).Upstream == hot {
 			kept = append(kept, i)
 		}
 	}
 	for n := range 500 {
-		w.now += 10
-		a.Home(key(kept[n%len(kept)]), toAnywhere, w.all)
+		f.now += 10
+		a.Home(key(kept[n%len(kept)]), anyRequest, f.all)
 	}
 	for _, i := range kept {
-		if a.Home(key(i), toAnywhere, w.all).Upstream != hot {
+		if a.Home(key(i), anyRequest, f.all).Upstream != hot {
 			moved++
 		}
 	}
-	w.now += 10_000
-	for _, u := range w.all {
-		if u != a.Home(key(0), toAnywhere, w.all).Upstream && a.Move(key(0), u).Upstream != nil {
+	f.now += 10_000
+	for _, u := range f.all {
+		if u != a.Home(key(0), anyRequest, f.all).Upstream && a.Move(key(0), u).Upstream != nil {
 			moved++
 		}
 	}
 	return moved
 }
 
-// formerHomes returns how many upstreams are known to have run a key beside its home.
-func formerHomes(s switcher.Set) int {
-	w := newWorld(8)
-	a := w.without("east", s)
-	home := a.Home(key(1), toAnywhere, w.all).Upstream
-	for _, u := range w.all {
+// countFormerHomes returns how many former homes of a key are known after it ran at all other
+// upstreams.
+func countFormerHomes(s switcher.Set) int {
+	f := newFixture(8)
+	a := f.assignerWithout("east", s)
+	home := a.Home(key(1), anyRequest, f.all).Upstream
+	for _, u := range f.all {
 		if u != home {
 			a.Visit(key(1), u)
 		}
 	}
-	return len(a.Former(nil, key(1), w.all, anywhere))
+	return len(a.Former(nil, key(1), f.all, anyRegion))
 }
 
-// loosestAway returns 1 if no key of the loosest route stays in a small region that can
-// carry the tightest one only.
-func loosestAway(s switcher.Set) int {
-	w := newWorld(2, 7, 7)
-	a := w.without("east", s)
-	tight := assigner.Request{Service: "s", Route: "tight", Objective: 250, Allowed: anywhere}
-	loose := assigner.Request{Service: "s", Route: "loose", Objective: 400, Allowed: anywhere}
+// loosestRouteLeaves returns 1 if no key of the loosest route stays in a small region that can
+// serve only the tightest one.
+func loosestRouteLeaves(s switcher.Set) int {
+	f := newFixture(2, 7, 7)
+	a := f.assignerWithout("east", s)
+	tight := assigner.Request{Service: "s", Route: "tight", Objective: 250, Allowed: anyRegion}
+	loose := assigner.Request{Service: "s", Route: "loose", Objective: 400, Allowed: anyRegion}
 	stays := func(u *cataloger.Upstream) bool { return u.Site.Region() == "east" }
 	for i := range 4000 {
-		w.now += 5
+		f.now += 5
 		r := tight
 		if i%2 == 0 {
 			r = loose
 		}
-		if stays(a.Home(key(i), r, w.all).Upstream) && i >= 1000 && i%2 == 0 {
+		if stays(a.Home(key(i), r, f.all).Upstream) && i >= 1000 && i%2 == 0 {
 			return 0
 		}
 	}
 	return 1
 }
 
-// keptNear returns 1 if all keys live in the region of their callers.
-func keptNear(s switcher.Set) int {
-	w := newWorld(8, 8, 8)
-	a := w.without("east", s)
+// allKeysLocal returns 1 if all keys have their home in the region of their callers.
+func allKeysLocal(s switcher.Set) int {
+	f := newFixture(8, 8, 8)
+	a := f.assignerWithout("east", s)
 	for i := range 100 {
-		if a.Home(key(i), toAnywhere, w.all).Upstream.Site.Region() != "east" {
+		if a.Home(key(i), anyRequest, f.all).Upstream.Site.Region() != "east" {
 			return 0
 		}
 	}
