--- a/internal/request/limiter/bucket.go
+++ b/internal/request/limiter/bucket.go
@@ -7,119 +7,119 @@
 )
 
 const (
-	// spans is how finely the tokens that were handed out lapse.
-	spans = 8
+	// issueSpans is the number of time spans in which issued tokens are counted.
+	issueSpans = 8
 
-	// demandTime is the time over which requests count as demand.
-	demandTime = timekeeper.Second
+	// demandDecayTime is the time constant of a demand rate.
+	demandDecayTime = timekeeper.Second
 
-	// leastCapacity lets a bucket hold one token however small its part is.
-	leastCapacity = 1.0
+	// minCapacity lets a bucket hold one token however small its share is.
+	minCapacity = 1.0
 )
 
 type (
-	// terms are what a bucket is filled by now: tokens a second, the most that it holds, and
-	// how long a token that was handed out counts as held.
-	terms struct {
+	// bucketParams are the refill rate in tokens a second, the capacity in tokens, and how
+	// long an issued token counts as held.
+	bucketParams struct {
 		rate     float64
 		capacity float64
 		lifetime timekeeper.Millis
 	}
 
-	// bucket is a region's tokens of one organisation.
+	// bucket is a region's token bucket of one organisation.
 	bucket struct {
-		level  float64
-		at     timekeeper.Millis
-		issued issues
-		// borrowedUntil is until when the level may be above the capacity.
+		level      float64
+		refilledAt timekeeper.Millis
+		issued     issueHistory
+		// borrowedUntil is the time until which the level may exceed the capacity.
 		borrowedUntil timekeeper.Millis
 	}
 
-	// issues counts tokens handed out, in spans of time.
-	issues [spans]issue
+	// issueHistory counts issued tokens by time span.
+	issueHistory [issueSpans]issueSpan
 
-	issue struct {
+	issueSpan struct {
 		number int64
 		tokens float64
 	}
 
-	// demand is a rate of requests that follows what comes.
-	demand struct {
-		level float64
-		at    timekeeper.Millis
+	// demandRate is an exponentially decaying rate of requests.
+	demandRate struct {
+		level     float64
+		updatedAt timekeeper.Millis
 	}
 )
 
-// refill adds what came in since the last time. Tokens that were handed out in advance and
+// refill adds the tokens accrued since the last call. Tokens that were issued in advance and
 // may still be used count as if they were in the bucket.
-func (b *bucket) refill(now timekeeper.Millis, t terms) {
-	grown := b.level + t.rate*seconds(max(now-b.at, 0))
-	b.at = now
-	room := max(max(t.capacity, leastCapacity)-b.issued.within(now, t.lifetime), 0)
+func (b *bucket) refill(now timekeeper.Millis, t bucketParams) {
+	grown := b.level + t.rate*seconds(max(now-b.refilledAt, 0))
+	b.refilledAt = now
+	room := max(max(t.capacity, minCapacity)-b.issued.sum(now, t.lifetime), 0)
 	switch {
 	case grown <= room:
 		b.level = grown
 	case b.level > room && now < b.borrowedUntil:
-		// Borrowed tokens stay for those who wait for them.
+		// Borrowed tokens stay for the requests that wait for them.
 	default:
 		b.level = room
 	}
 }
 
-// issue hands out at most n whole tokens. Those beyond need are not used at once.
-func (b *bucket) issue(now timekeeper.Millis, n, need int, t terms) int {
-	n = min(n, b.whole())
+// issue takes at most n whole tokens. Those beyond need are not used at once.
+func (b *bucket) issue(now timekeeper.Millis, n, need int, t bucketParams) int {
+	n = min(n, b.available())
 	b.level -= float64(n)
 	if n > need {
-		b.issued.note(now, n-need, t.lifetime)
+		b.issued.record(now, n-need, t.lifetime)
 	}
 	return n
 }
 
-// borrow takes over tokens of another bucket.
-func (b *bucket) borrow(now timekeeper.Millis, n int, t terms) {
+// borrow adds tokens of another bucket.
+func (b *bucket) borrow(now timekeeper.Millis, n int, t bucketParams) {
 	b.level += float64(n)
 	b.borrowedUntil = now + t.lifetime
 }
 
-// rounding keeps sums of fractions from falling just below a whole token.
-const rounding = 1e-9
+// epsilon keeps sums of fractions from falling just below a whole token.
+const epsilon = 1e-9
 
-func (b *bucket) whole() int {
-	return max(int(b.level+rounding), 0)
+func (b *bucket) available() int {
+	return max(int(b.level+epsilon), 0)
 }
 
-func (s *issues) note(now timekeeper.Millis, n int, lifetime timekeeper.Millis) {
-	number := spanOf(now, lifetime)
-	p := &s[number%spans]
+func (s *issueHistory) record(now timekeeper.Millis, n int, lifetime timekeeper.Millis) {
+	number := spanNumber(now, lifetime)
+	p := &s[number%issueSpans]
 	if p.number != number {
-		*p = issue{number: number}
+		*p = issueSpan{number: number}
 	}
 	p.tokens += float64(n)
 }
 
-// within returns what was handed out within the lifetime: all spans but one are complete.
-func (s *issues) within(now, lifetime timekeeper.Millis) float64 {
-	sum, number := 0.0, spanOf(now, lifetime)
+// sum returns the tokens issued within the lifetime. All but the current span are complete.
+func (s *issueHistory) sum(now, lifetime timekeeper.Millis) float64 {
+	sum, number := 0.0, spanNumber(now, lifetime)
 	for _, p := range s {
-		if p.number > number-spans {
+		if p.number > number-issueSpans {
 			sum += p.tokens
 		}
 	}
 	return sum
 }
 
-func spanOf(now, lifetime timekeeper.Millis) int64 {
-	return int64(now / max(lifetime/(spans-1), 1))
+func spanNumber(now, lifetime timekeeper.Millis) int64 {
+	return int64(now / max(lifetime/(issueSpans-1), 1))
 }
 
-// note counts n requests.
-func (d *demand) note(now timekeeper.Millis, n int) {
+// record counts n requests.
+func (d *demandRate) record(now timekeeper.Millis, n int) {
 	d.level = d.rate(now) + float64(n)
-	d.at = now
+	d.updatedAt = now
 }
 
-// rate returns the requests a second.
-func (d *demand) rate(now timekeeper.Millis) float64 {
-	return d.level * math.Exp(-seconds(max(now-d.at, 0))/seconds(demandTime))
+// rate returns the requests per second.
+func (d *demandRate) rate(now timekeeper.Millis) float64 {
+	return d.level * math.Exp(-seconds(max(now-d.updatedAt, 0))/seconds(demandDecayTime))
 }
--- /dev/null
+++ b/internal/request/limiter/cache.go
@@ -0,0 +1,181 @@
+package limiter
+
+import (
+	"github.com/gullvale/gullvale/internal/version/authenticator"
+	"github.com/gullvale/gullvale/pkg/hasher"
+	"github.com/gullvale/gullvale/pkg/timekeeper"
+)
+
+const (
+	// AllocatorTimeout is how long a request waits for one allocator before it asks another
+	// one. It exceeds the time for which an allocator waits for other regions.
+	AllocatorTimeout = 160 * timekeeper.Millis(1)
+
+	// localDenialTime is the maximum time for which a daemon refuses requests by itself after
+	// its allocator had no token. It asks again once in that time for all of them.
+	localDenialTime = 200 * timekeeper.Millis(1)
+
+	// unknownRetryAfter is the retry delay, to another daemon if possible, for callers whose
+	// organisation's use is not known here.
+	unknownRetryAfter = 250 * timekeeper.Millis(1)
+
+	// ownShareDelay is how long a daemon waits before it uses its own share: the allocators
+	// hand it out until they have noticed the daemon's absence.
+	ownShareDelay = 1600 * timekeeper.Millis(1)
+
+	// ownShareReset is how long a daemon keeps the buckets of its own share after their last
+	// use, also if it hears from an allocator in between.
+	ownShareReset = 5 * timekeeper.Second
+)
+
+// tokenCache holds a daemon's tokens of one organisation.
+type tokenCache struct {
+	demand    demandRate
+	tokens    int
+	expiresAt timekeeper.Millis
+	waiting   []*Ticket
+
+	// number identifies the pending request for tokens, and requestedAt is when it was sent, 0
+	// for none.
+	number      uint32
+	requestedAt timekeeper.Millis
+
+	// deniedUntil is the time until which requests are refused locally, lastRetryAt the last
+	// retry time given out, and gap the time between two of them.
+	deniedUntil timekeeper.Millis
+	lastRetryAt timekeeper.Millis
+	gap         timekeeper.Millis
+
+	// ownBucket is used while no allocator is heard, and ownShareFrom is when the daemon may
+	// begin to use its own share.
+	ownBucket    bucket
+	ownShareFrom timekeeper.Millis
+	usedAt       timekeeper.Millis
+}
+
+// cache returns this daemon's tokens of an organisation, without expired ones.
+func (c *Core) cache(o *authenticator.Organisation, now timekeeper.Millis) *tokenCache {
+	if c.caches == nil {
+		c.caches = map[hasher.Hash]*tokenCache{}
+	}
+	s := c.caches[o.Hash()]
+	if s == nil {
+		s = &tokenCache{}
+		c.caches[o.Hash()] = s
+	}
+	s.usedAt = now
+	if now >= s.expiresAt {
+		s.tokens = 0
+	}
+	return s
+}
+
+// takeCached decides a request with the cached tokens, or lets it wait for a response.
+func (c *Core) takeCached(now timekeeper.Millis, o *authenticator.Organisation, t *Ticket) {
+	s := c.cache(o, now)
+	s.demand.record(now, 1)
+	switch {
+	case s.tokens > 0:
+		s.tokens--
+		t.Verdict = Verdict{Outcome: Admitted}
+		if float64(s.tokens) < s.demand.rate(now)*seconds(refillThreshold) && s.prefetchCount(now) > 0 {
+			c.requestTokens(now, o, s)
+		}
+		return
+	case now < s.deniedUntil:
+		t.Verdict = s.deny(now)
+		return
+	}
+	s.waiting = append(s.waiting, t)
+	c.requestTokens(now, o, s)
+}
+
+// prefetchCount returns the number of tokens to acquire before requests need them.
+func (s *tokenCache) prefetchCount(now timekeeper.Millis) int {
+	return int(s.demand.rate(now) * seconds(prefetchTime))
+}
+
+// requestTokens asks the current allocator for tokens unless a request is pending.
+func (c *Core) requestTokens(now timekeeper.Millis, o *authenticator.Organisation, s *tokenCache) {
+	if s.requestedAt > 0 && now-s.requestedAt < AllocatorTimeout || len(c.allocators) == 0 {
+		return
+	}
+	if now-c.skippedAt >= regionalRetryInterval {
+		c.current = 0
+	}
+	c.lastNumber++
+	s.number, s.requestedAt = c.lastNumber, now
+	need := len(s.waiting)
+	c.send(c.allocators[c.current%len(c.allocators)], Message{
+		Kind: Acquire, Organisation: o.Hash(), Number: s.number,
+		Tokens: uint32(need + s.prefetchCount(now)), Need: uint32(need),
+	})
+}
+
+// handleGrant handles a response. A response to any request but the last one is dropped with
+// its tokens.
+func (c *Core) handleGrant(now timekeeper.Millis, m Message) {
+	o := c.limitedOrganisation(m.Organisation)
+	if o == nil {
+		return
+	}
+	s := c.cache(o, now)
+	if s.requestedAt == 0 || s.number != m.Number || now-s.requestedAt >= AllocatorTimeout {
+		return
+	}
+	c.unanswered = 0
+	if until := s.requestedAt + c.Tolerance.lifetime(o.Limit); s.tokens == 0 || until < s.expiresAt {
+		s.expiresAt = until
+	}
+	s.tokens += int(m.Tokens)
+	s.requestedAt = 0
+	s.admitWaiting()
+	if m.After > 0 {
+		s.deniedUntil, s.lastRetryAt, s.gap = now+min(m.After, localDenialTime), now+m.After-m.Gap, m.Gap
+		s.denyWaiting(now)
+		return
+	}
+	if len(s.waiting) > 0 {
+		c.requestTokens(now, o, s)
+	}
+}
+
+// admitWaiting admits waiting requests in order.
+func (s *tokenCache) admitWaiting() {
+	n := min(len(s.waiting), s.tokens)
+	for _, t := range s.waiting[:n] {
+		t.decide(Verdict{Outcome: Admitted})
+	}
+	s.tokens -= n
+	s.waiting = s.waiting[n:]
+}
+
+func (s *tokenCache) denyWaiting(now timekeeper.Millis) {
+	for _, t := range s.waiting {
+		t.decide(s.deny(now))
+	}
+	s.waiting = nil
+}
+
+// deny refuses a request, with a retry time after those of the requests refused before.
+func (s *tokenCache) deny(now timekeeper.Millis) Verdict {
+	s.lastRetryAt = min(max(s.lastRetryAt, now)+s.gap, now+maxRetryAfter)
+	return Verdict{Outcome: Over, After: max(s.lastRetryAt-now, minRetryAfter)}
+}
+
+// takeOwnShare decides a request by this daemon's own share of the limit.
+func (c *Core) takeOwnShare(now timekeeper.Millis, o *authenticator.Organisation, s *tokenCache) Verdict {
+	t := c.bucketParams(o, c.view.ownShare())
+	if c.ownShareFrom == 0 || now-c.ownShareUsedAt > ownShareReset {
+		c.ownShareFrom = now + ownShareDelay
+	}
+	c.ownShareUsedAt = now
+	if s.ownShareFrom != c.ownShareFrom {
+		s.ownBucket, s.ownShareFrom = bucket{refilledAt: c.ownShareFrom}, c.ownShareFrom
+	}
+	s.ownBucket.refill(now, t)
+	if s.ownBucket.issue(now, 1, 1, t) == 0 {
+		return Verdict{Outcome: Unknown, After: unknownRetryAfter}
+	}
+	return Verdict{Outcome: Admitted}
+}
--- a/internal/request/limiter/core.go
+++ b/internal/request/limiter/core.go
@@ -10,76 +10,79 @@
 )
 
 const (
-	// firstAgain is how long the counter of the region is passed over that did not answer.
-	firstAgain = 2 * timekeeper.Second
+	// regionalRetryInterval is how long the region's allocator is skipped after it did not
+	// respond.
+	regionalRetryInterval = 2 * timekeeper.Second
 
-	// idleTime is how long an organisation without requests is remembered.
-	idleTime = timekeeper.Minute
+	// idleExpiry is how long an organisation without requests is remembered.
+	idleExpiry = timekeeper.Minute
 )
 
-// Core decides which requests are within the limits. All its methods take the time, and
-// return what is to be sent; it is not safe for use by several goroutines. Tolerance and
-// Organisation must be set before use.
+// Core decides which requests are within the limits. Its methods take the current time and
+// return the messages to send. It is not safe for concurrent use. Tolerance and Organisation
+// must be set before use.
 type Core struct {
 	Tolerance Tolerance
-	// Organisation returns the one whose name has a hash, by the configuration in force,
-	// nil for none.
+	// Organisation returns the organisation whose name has a hash, by the configuration in
+	// force, or nil.
 	Organisation func(hasher.Hash) *authenticator.Organisation
 
-	census        Census
-	countingSince timekeeper.Millis
-	// counters are whom tokens are drawn from: the one of the region, then the others. Turn
-	// says which of them is asked, and deaf how many questions in a row were not answered.
-	counters []string
-	turn     int
-	deaf     int
-	// passed is when the counter of the region was passed over.
-	passed timekeeper.Millis
-	// ownSince is when this daemon began to use its own parts, and ownUsed when it last did.
-	ownSince timekeeper.Millis
-	ownUsed  timekeeper.Millis
-	accounts map[hasher.Hash]*account
-	stocks   map[hasher.Hash]*stock
-	number   uint32
-	out      []Envelope
+	view           Census
+	allocatorSince timekeeper.Millis
+	// allocators are the addresses that tokens are acquired from: the region's allocator, then
+	// the others. current selects the one to ask, unanswered counts consecutive requests
+	// without a response.
+	allocators []string
+	current    int
+	unanswered int
+	// skippedAt is when the region's allocator was last skipped.
+	skippedAt timekeeper.Millis
+	// ownShareFrom is when this daemon may begin to use its own shares, ownShareUsedAt when it
+	// last did.
+	ownShareFrom   timekeeper.Millis
+	ownShareUsedAt timekeeper.Millis
+	accounts       map[hasher.Hash]*account
+	caches         map[hasher.Hash]*tokenCache
+	lastNumber     uint32
+	out            []Envelope
 }
 
-// Observe takes what is known of the fleet now.
-func (c *Core) Observe(now timekeeper.Millis, n Census) {
-	counted := c.counts()
-	if n.Counter != c.census.Counter {
-		c.turn, c.deaf = 0, 0
+// Observe updates the view of the fleet.
+func (c *Core) Observe(now timekeeper.Millis, v Census) {
+	wasAllocator := c.isAllocator()
+	if v.Counter != c.view.Counter {
+		c.current, c.unanswered = 0, 0
 	}
-	c.census = n
-	c.counters = c.counters[:0]
-	if n.Counter != "" {
-		c.counters = append(append(c.counters, n.Counter), n.Others...)
+	c.view = v
+	c.allocators = c.allocators[:0]
+	if v.Counter != "" {
+		c.allocators = append(append(c.allocators, v.Counter), v.Others...)
 	}
-	if c.counts() == counted {
+	if c.isAllocator() == wasAllocator {
 		return
 	}
-	c.accounts, c.countingSince = nil, now
-	if c.counts() {
+	c.accounts, c.allocatorSince = nil, now
+	if c.isAllocator() {
 		c.accounts = map[hasher.Hash]*account{}
 	}
 }
 
-// Take asks for a token. The ticket may have to wait.
+// Take asks for a token. The ticket's outcome may be Waiting.
 func (c *Core) Take(now timekeeper.Millis, o *authenticator.Organisation, t *Ticket) []Envelope {
 	switch {
 	case o.Limit.Unlimited():
 		t.Verdict = Verdict{Outcome: Admitted}
-	case c.counts():
-		c.drawn(now, o, draw{ticket: t, want: 1, need: 1})
-	case c.census.Alone || len(c.counters) == 0:
-		t.Verdict = c.spend(now, o, c.stock(o, now))
-	case c.deaf >= len(c.counters):
-		s := c.stock(o, now)
-		t.Verdict = c.spend(now, o, s)
-		c.lookOn(now, s)
-		c.question(now, o, s)
+	case c.isAllocator():
+		c.handleAcquire(now, o, acquisition{ticket: t, wanted: 1, needed: 1})
+	case c.view.Alone || len(c.allocators) == 0:
+		t.Verdict = c.takeOwnShare(now, o, c.cache(o, now))
+	case c.unanswered >= len(c.allocators):
+		s := c.cache(o, now)
+		t.Verdict = c.takeOwnShare(now, o, s)
+		c.nextAllocator(now, s)
+		c.requestTokens(now, o, s)
 	default:
-		c.ask(now, o, t)
+		c.takeCached(now, o, t)
 	}
 	return c.flush()
 }
@@ -89,82 +92,83 @@
 	if o.Limit.Unlimited() {
 		return nil
 	}
-	if c.counts() {
+	if c.isAllocator() {
 		c.account(o, now).bucket.level++
 		return nil
 	}
-	s := c.stock(o, now)
+	s := c.cache(o, now)
 	if s.tokens == 0 {
-		s.until = now + leastLifetime
+		s.expiresAt = now + minLifetime
 	}
 	s.tokens++
-	s.serve()
+	s.admitWaiting()
 	return c.flush()
 }
 
-// Late goes on with a ticket that has waited for Patience, or since Late did so: it asks
-// somebody else who counts, or decides the ticket.
-func (c *Core) Late(now timekeeper.Millis, o *authenticator.Organisation, t *Ticket) []Envelope {
+// HandleTimeout is called when a ticket has waited for AllocatorTimeout since Take or the last
+// HandleTimeout. It asks the next allocator or decides the ticket.
+func (c *Core) HandleTimeout(now timekeeper.Millis, o *authenticator.Organisation, t *Ticket) []Envelope {
 	if t.Verdict.Outcome != Waiting {
 		return nil
 	}
-	s := c.stock(o, now)
-	c.lookOn(now, s)
-	if !c.counts() && !c.census.Alone && c.deaf < len(c.counters) && t.late < len(c.counters) {
-		t.late++
+	s := c.cache(o, now)
+	c.nextAllocator(now, s)
+	if !c.isAllocator() && !c.view.Alone && c.unanswered < len(c.allocators) && t.timeouts < len(c.allocators) {
+		t.timeouts++
 		if !slices.Contains(s.waiting, t) {
 			s.waiting = append(s.waiting, t)
 		}
-		c.question(now, o, s)
+		c.requestTokens(now, o, s)
 		return c.flush()
 	}
 	s.waiting = slices.DeleteFunc(s.waiting, func(w *Ticket) bool { return w == t })
-	t.decide(c.spend(now, o, s))
+	t.decide(c.takeOwnShare(now, o, s))
 	return c.flush()
 }
 
-// GiveUp ends the wait of a ticket whose request has ended.
-func (c *Core) GiveUp(t *Ticket) {
-	t.decide(Verdict{Outcome: Unknown, After: unknownAfter})
+// Cancel ends the wait of a ticket whose request has ended.
+func (c *Core) Cancel(t *Ticket) {
+	t.decide(Verdict{Outcome: Unknown, After: unknownRetryAfter})
 }
 
-// lookOn turns to the next one who counts if the last question was not answered.
-func (c *Core) lookOn(now timekeeper.Millis, s *stock) {
-	if s.asked == 0 || now-s.asked < Patience {
+// nextAllocator moves on to the next allocator if the last request got no response in time.
+func (c *Core) nextAllocator(now timekeeper.Millis, s *tokenCache) {
+	if s.requestedAt == 0 || now-s.requestedAt < AllocatorTimeout {
 		return
 	}
-	s.asked = 0
-	c.deaf++
-	if c.turn == 0 {
-		c.passed = now
+	s.requestedAt = 0
+	c.unanswered++
+	if c.current == 0 {
+		c.skippedAt = now
 	}
-	c.turn++
+	c.current++
 }
 
-// Receive takes a message of another daemon.
+// Receive handles a message of another daemon.
 func (c *Core) Receive(now timekeeper.Millis, from string, m Message) []Envelope {
 	switch m.Kind {
-	case Draw:
-		if o := c.limited(m.Organisation); o != nil && c.counts() {
-			c.drawn(now, o, draw{from: from, number: m.Number, want: int(m.Tokens), need: int(m.Need)})
+	case Acquire:
+		if o := c.limitedOrganisation(m.Organisation); o != nil && c.isAllocator() {
+			c.handleAcquire(now, o, acquisition{from: from, number: m.Number, wanted: int(m.Tokens), needed: int(m.Need)})
 		}
 	case Grant:
-		c.granted(now, m)
+		c.handleGrant(now, m)
 	case Borrow:
-		c.lend(now, from, m)
+		c.handleBorrow(now, from, m)
 	case Loan:
-		c.lent(now, m)
+		c.handleLoan(now, m)
 	}
 	return c.flush()
 }
 
-// Tick answers questions for which other regions were asked in vain. It is due after Due.
+// Tick responds to acquisitions that waited for other regions in vain. It is called the time
+// that Due returns after a step.
 func (c *Core) Tick(now timekeeper.Millis) []Envelope {
 	for h, a := range c.accounts {
-		if len(a.pending) == 0 || a.loan.open(now) {
+		if len(a.pending) == 0 || a.borrowing.open(now) {
 			continue
 		}
-		if o := c.limited(h); o != nil {
+		if o := c.limitedOrganisation(h); o != nil {
 			c.account(o, now)
 			c.serve(now, o, a)
 			c.refuse(now, o, a)
@@ -173,30 +177,30 @@
 	return c.flush()
 }
 
-// Due returns how long after a question to other regions Tick is to be called, 0 if none is
-// under way.
+// Due returns the delay after which Tick must be called, given the messages that were sent; 0
+// if none of them asks other regions.
 func (c *Core) Due(sent []Envelope) timekeeper.Millis {
 	for _, e := range sent {
 		if e.Kind == Borrow {
-			return borrowPatience
+			return borrowTimeout
 		}
 	}
 	return 0
 }
 
-// Forget drops what is known of organisations that had no requests for long.
+// Forget drops the state of organisations that have been idle for longer than idleExpiry.
 func (c *Core) Forget(now timekeeper.Millis) {
-	maps.DeleteFunc(c.accounts, func(_ hasher.Hash, a *account) bool { return now-a.used > idleTime && len(a.pending) == 0 })
-	maps.DeleteFunc(c.stocks, func(_ hasher.Hash, s *stock) bool { return now-s.used > idleTime && len(s.waiting) == 0 })
+	maps.DeleteFunc(c.accounts, func(_ hasher.Hash, a *account) bool { return now-a.usedAt > idleExpiry && len(a.pending) == 0 })
+	maps.DeleteFunc(c.caches, func(_ hasher.Hash, s *tokenCache) bool { return now-s.usedAt > idleExpiry && len(s.waiting) == 0 })
 }
 
-// counts tells whether this daemon counts for its region.
-func (c *Core) counts() bool {
-	return c.census.Counts && !c.census.Alone
+// isAllocator reports whether this daemon is the limit allocator of its region.
+func (c *Core) isAllocator() bool {
+	return c.view.Counts && !c.view.Alone
 }
 
-// limited returns an organisation that has a limit.
-func (c *Core) limited(h hasher.Hash) *authenticator.Organisation {
+// limitedOrganisation returns the organisation with a hash, nil if it is unknown or unlimited.
+func (c *Core) limitedOrganisation(h hasher.Hash) *authenticator.Organisation {
 	o := c.Organisation(h)
 	if o == nil || o.Limit.Unlimited() {
 		return nil
--- a/internal/request/limiter/fleet_test.go
+++ b/internal/request/limiter/fleet_test.go
@@ -17,73 +17,76 @@
 const (
 	second = timekeeper.Second
 
-	// nearDelay and farDelay are how long messages take in a region and between regions.
+	// nearDelay and farDelay are the message delays within a region and between regions.
 	nearDelay = 1 * timekeeper.Millis(1)
 	farDelay  = 35 * timekeeper.Millis(1)
 
-	// leadSilence and goneAfter are how long others take a daemon that is not heard for a
-	// lead, and for one that lives.
-	leadSilence = 1600 * timekeeper.Millis(1)
-	goneAfter   = 2500 * timekeeper.Millis(1)
+	// leaderTimeout and livenessTimeout are how long others still regard an unreachable daemon
+	// as a leader, and as alive.
+	leaderTimeout   = 1600 * timekeeper.Millis(1)
+	livenessTimeout = 2500 * timekeeper.Millis(1)
 )
 
-// tolerance is that of the deployments that have organisations.
+// tolerance is the tolerance of the deployments that have organisations.
 var tolerance = limiter.Tolerance{Window: 5 * second, Over: 0.1, Slack: 20}
 
 type (
-	// way is one way to keep the limits.
-	way interface {
-		// take asks for a token at a daemon; done is told what became of it, maybe later.
+	// strategy is one way to enforce the limits.
+	strategy interface {
+		// take asks for a token at a daemon. done is called with the outcome, possibly later.
 		take(d int, o *authenticator.Organisation, done func(admitted bool))
-		// start is told of a daemon that begins anew.
-		start(d int)
+		// restart is called when a daemon starts anew.
+		restart(d int)
 	}
 
-	// fleet is daemons in regions, by turns, with messages between them, in simulated time.
+	// fleet simulates daemons, assigned to regions in turn, that exchange messages in
+	// simulated time.
 	fleet struct {
-		now     timekeeper.Millis
-		events  events
-		random  *rand.Rand
-		regions int
-		daemons []daemon
-		all     []*authenticator.Organisation
-		way     way
-		counts  []count
-		// messages and bytes are what daemons sent.
+		now           timekeeper.Millis
+		events        events
+		random        *rand.Rand
+		regions       int
+		daemons       []daemon
+		organisations []*authenticator.Organisation
+		strategy      strategy
+		counts        []counts
+		// messages and bytes count what daemons sent.
 		messages int
 		bytes    int
 		loss     float64
-		// hold keeps messages in held instead of delivering them in time.
+		// hold keeps messages in held instead of delivering them.
 		hold bool
 		held []func()
-		// tolerance is what the limits tolerate.
+		// tolerance is the tolerance of the limits.
 		tolerance limiter.Tolerance
-		// seen is what daemons in touch know of each other.
-		seen view
+		// view is the current view of the reachable daemons.
+		view fleetView
 	}
 
-	// view is what daemons in touch know of each other at a time.
-	view struct {
-		at    timekeeper.Millis
-		heard int
-		near  []int
-		leads []int
+	// fleetView is what the reachable daemons know about each other at a time.
+	fleetView struct {
+		at      timekeeper.Millis
+		heard   int
+		near    []int
+		leaders []int
 	}
 
 	daemon struct {
-		// dead is down, cut is up and heard by nobody, since when.
-		dead, cut bool
-		since     timekeeper.Millis
+		// dead means not running; isolated means running but unreachable. since is when that
+		// began.
+		dead, isolated bool
+		since          timekeeper.Millis
 	}
 
-	// count is what became of the requests of one organisation.
-	count struct {
-		asked, admitted, below []timekeeper.Millis
-		// ideal is one bucket that all daemons would share without any delay.
-		ideal plain
-		// most is the most that was admitted beyond the rate and the burst in a window.
-		most   float64
-		mostAt timekeeper.Millis
+	// counts holds the outcomes of the requests of one organisation.
+	counts struct {
+		asked, admitted, refusedBelow []timekeeper.Millis
+		// ideal is a single bucket that all daemons share without any delay.
+		ideal tokenBucket
+		// maxExcess is the maximum number of requests admitted beyond the rate and the burst
+		// in a window.
+		maxExcess   float64
+		maxExcessAt timekeeper.Millis
 	}
 
 	event struct {
@@ -111,17 +114,17 @@
 	return last
 }
 
-// newFleet is n daemons in three regions.
+// newFleet returns n daemons in three regions.
 func newFleet(n int, seed uint64, all ...*authenticator.Organisation) *fleet {
-	f := &fleet{regions: 3, tolerance: tolerance, daemons: make([]daemon, n), random: rand.New(rand.NewPCG(seed, 1)), all: all, counts: make([]count, len(all))}
+	f := &fleet{regions: 3, tolerance: tolerance, daemons: make([]daemon, n), random: rand.New(rand.NewPCG(seed, 1)), organisations: all, counts: make([]counts, len(all))}
 	for o := range f.counts {
-		f.counts[o].most = math.Inf(-1)
+		f.counts[o].maxExcess = math.Inf(-1)
 	}
 	return f
 }
 
-// organisations are n of which the first are large, with limits of 1.6 times their demand, in
-// requests a second of all together.
+// organisations returns n organisations of decreasing size with limits of 1.6 times their
+// demand, and their demands, which add up to perSecond.
 func organisations(n int, perSecond float64) (list []*authenticator.Organisation, demands []float64) {
 	sum := 0.0
 	for i := range n {
@@ -133,11 +136,11 @@
 		list = append(list, &authenticator.Organisation{Name: authenticator.Name(fmt.Sprint("o", i)), Limit: authenticator.Limit{PerSecond: limit, Burst: limit}})
 		demands = append(demands, d)
 	}
-	return prepared(list...), demands
+	return normalized(list...), demands
 }
 
-// prepared returns organisations as a directory holds them.
-func prepared(list ...*authenticator.Organisation) []*authenticator.Organisation {
+// normalized returns organisations as a directory holds them.
+func normalized(list ...*authenticator.Organisation) []*authenticator.Organisation {
 	var plain []authenticator.Organisation
 	for _, o := range list {
 		plain = append(plain, *o)
@@ -157,7 +160,7 @@
 	heap.Push(&f.events, event{f.now + d, f.events.seq, do})
 }
 
-// run goes on until a time.
+// run executes events until a time.
 func (f *fleet) run(until timekeeper.Millis) {
 	for f.events.Len() > 0 && f.events.list[0].at <= until {
 		e := heap.Pop(&f.events).(event)
@@ -169,16 +172,16 @@
 
 func (f *fleet) region(d int) int { return d % f.regions }
 
-// deliver has something arrive at another daemon, unless it is lost on the way.
+// deliver calls do at another daemon after the message delay, unless the message is lost.
 func (f *fleet) deliver(from, to, bytes int, do func()) {
 	f.messages++
 	f.bytes += bytes
-	if f.unheard(from) || f.random.Float64() < f.loss {
+	if f.unreachable(from) || f.random.Float64() < f.loss {
 		return
 	}
 	if f.hold {
 		f.held = append(f.held, func() {
-			if !f.unheard(to) {
+			if !f.unreachable(to) {
 				do()
 			}
 		})
@@ -189,65 +192,65 @@
 		delay = farDelay
 	}
 	f.after(delay, func() {
-		if !f.unheard(to) {
+		if !f.unreachable(to) {
 			do()
 		}
 	})
 }
 
-func (f *fleet) unheard(d int) bool { return f.daemons[d].dead || f.daemons[d].cut }
+func (f *fleet) unreachable(d int) bool { return f.daemons[d].dead || f.daemons[d].isolated }
 
-// takenFor tells whether other daemons still take d for one that lives.
-func (f *fleet) takenFor(d int, patience timekeeper.Millis) bool {
-	return !f.unheard(d) || f.now-f.daemons[d].since < patience
+// believedAlive reports whether other daemons still regard d as alive, given their timeout.
+func (f *fleet) believedAlive(d int, patience timekeeper.Millis) bool {
+	return !f.unreachable(d) || f.now-f.daemons[d].since < patience
 }
 
-// lead is who counts for a region by what those in touch believe, -1 for nobody.
-func (f *fleet) lead(region int) int {
+// leader returns the leader of a region in the view of reachable daemons, -1 for none.
+func (f *fleet) leader(region int) int {
 	for d := range f.daemons {
-		if f.region(d) == region && f.takenFor(d, leadSilence) {
+		if f.region(d) == region && f.believedAlive(d, leaderTimeout) {
 			return d
 		}
 	}
 	return -1
 }
 
-// look brings the view up to date, as heartbeats do.
-func (f *fleet) look() {
+// refreshView updates the view, as heartbeats do.
+func (f *fleet) refreshView() {
 	const viewEvery = 100 * timekeeper.Millis(1)
-	if f.seen.near != nil && f.now-f.seen.at < viewEvery {
+	if f.view.near != nil && f.now-f.view.at < viewEvery {
 		return
 	}
-	f.seen = view{at: f.now, near: make([]int, f.regions), leads: make([]int, f.regions)}
+	f.view = fleetView{at: f.now, near: make([]int, f.regions), leaders: make([]int, f.regions)}
 	for d := range f.daemons {
-		if f.takenFor(d, leadSilence) {
-			f.seen.heard++
-			f.seen.near[f.region(d)]++
+		if f.believedAlive(d, leaderTimeout) {
+			f.view.heard++
+			f.view.near[f.region(d)]++
 		}
 	}
 	for r := range f.regions {
-		f.seen.leads[r] = f.lead(r)
+		f.view.leaders[r] = f.leader(r)
 	}
 }
 
-// census is what a daemon knows of the fleet.
+// census returns a daemon's view of the fleet.
 func (f *fleet) census(d int) limiter.Census {
-	f.look()
-	c := limiter.Census{Known: len(f.daemons), Near: max(f.seen.near[f.region(d)], 1)}
-	lead := f.seen.leads[f.region(d)]
-	c.Alone = f.seen.heard <= 1 && len(f.daemons) > 1
-	if f.daemons[d].cut {
+	f.refreshView()
+	c := limiter.Census{Known: len(f.daemons), Near: max(f.view.near[f.region(d)], 1)}
+	leader := f.view.leaders[f.region(d)]
+	c.Alone = f.view.heard <= 1 && len(f.daemons) > 1
+	if f.daemons[d].isolated {
 		cutFor := f.now - f.daemons[d].since
-		c.Alone = cutFor >= goneAfter
-		if cutFor >= leadSilence {
-			lead = d
+		c.Alone = cutFor >= livenessTimeout
+		if cutFor >= leaderTimeout {
+			leader = d
 		}
 	}
-	if lead != d && lead >= 0 {
-		c.Counter = strconv.Itoa(lead)
+	if leader != d && leader >= 0 {
+		c.Counter = strconv.Itoa(leader)
 	}
 	c.Counts = c.Counter == ""
-	for r, l := range f.seen.leads {
+	for r, l := range f.view.leaders {
 		if r != f.region(d) && l >= 0 {
 			c.Others = append(c.Others, strconv.Itoa(l))
 		}
@@ -255,7 +258,7 @@
 	return c
 }
 
-// kill ends a daemon, cut cuts one off, back brings either back.
+// kill terminates a daemon, cutOff isolates one, and restore brings either back.
 func (f *fleet) kill(d int) {
 	if !f.daemons[d].dead {
 		f.daemons[d] = daemon{dead: true, since: f.now}
@@ -263,72 +266,72 @@
 }
 
 func (f *fleet) cutOff(d int) {
-	if !f.unheard(d) {
-		f.daemons[d].cut, f.daemons[d].since = true, f.now
+	if !f.unreachable(d) {
+		f.daemons[d].isolated, f.daemons[d].since = true, f.now
 	}
 }
 
-func (f *fleet) back(d int) {
+func (f *fleet) restore(d int) {
 	if f.daemons[d].dead {
 		f.daemons[d] = daemon{}
-		f.way.start(d)
+		f.strategy.restart(d)
 	}
-	f.daemons[d].cut = false
+	f.daemons[d].isolated = false
 }
 
-// ask has a request of an organisation arrive at a daemon. One that is dead takes none, and
-// one that is cut off does.
-func (f *fleet) ask(d, o int) {
+// request has a request of an organisation arrive at a daemon. A dead daemon takes none, an
+// isolated one does.
+func (f *fleet) request(d, o int) {
 	if f.daemons[d].dead {
 		return
 	}
 	c := &f.counts[o]
 	c.asked = append(c.asked, f.now)
-	limit := f.all[o].Limit
-	// Where the ideal bucket runs empty, it admits other requests than any way does. What
-	// counts is what is refused while it holds a quarter of the burst.
+	limit := f.organisations[o].Limit
+	// When the ideal bucket runs empty, it admits other requests than a strategy does. Only
+	// requests refused while it holds at least a quarter of the burst count.
 	ideal := limit.Unlimited() || c.ideal.take(f.now, limit.PerSecond, limit.Burst) && c.ideal.level >= limit.Burst/4
-	f.way.take(d, f.all[o], func(admitted bool) {
+	f.strategy.take(d, f.organisations[o], func(admitted bool) {
 		switch {
 		case admitted:
 			c.admit(f.now, limit, f.tolerance.Window)
 		case ideal:
-			c.below = append(c.below, f.now)
+			c.refusedBelow = append(c.refusedBelow, f.now)
 		}
 	})
 }
 
-// admit notes a request that was sent, and how far the windows that end with it are above the
-// limit.
-func (c *count) admit(now timekeeper.Millis, l authenticator.Limit, window timekeeper.Millis) {
+// admit records an admitted request, and the excess over the limit in the window that ends
+// with it.
+func (c *counts) admit(now timekeeper.Millis, l authenticator.Limit, window timekeeper.Millis) {
 	c.admitted = append(c.admitted, now)
-	over := float64(within(c.admitted, now, window)) - (l.PerSecond*float64(window)/float64(second) + l.Burst)
-	if over > c.most {
-		c.most, c.mostAt = over, now
+	over := float64(countWithin(c.admitted, now, window)) - (l.PerSecond*float64(window)/float64(second) + l.Burst)
+	if over > c.maxExcess {
+		c.maxExcess, c.maxExcessAt = over, now
 	}
 }
 
-// within counts the times of the window that ends now.
-func within(times []timekeeper.Millis, now, window timekeeper.Millis) int {
+// countWithin counts the times in the window that ends now.
+func countWithin(times []timekeeper.Millis, now, window timekeeper.Millis) int {
 	i, _ := slices.BinarySearch(times, now-window+1)
 	return len(times) - i
 }
 
-// above is by how many requests the worst window of an organisation was above what the limit
-// and its tolerance allow.
-func (f *fleet) above(o int) float64 {
-	l, t := f.all[o].Limit, f.tolerance
-	return f.counts[o].most - (t.Over*(l.PerSecond*float64(t.Window)/float64(second)+l.Burst) + t.Slack)
+// excess returns by how many requests the worst window of an organisation exceeded its limit
+// and tolerance.
+func (f *fleet) excess(o int) float64 {
+	l, t := f.organisations[o].Limit, f.tolerance
+	return f.counts[o].maxExcess - (t.Over*(l.PerSecond*float64(t.Window)/float64(second)+l.Burst) + t.Slack)
 }
 
-// press has requests of an organisation arrive at random daemons until a time, at a rate.
-// Where tells which daemons they come to, nil for any.
-func (f *fleet) press(o int, perSecond float64, until timekeeper.Millis, where func(d int) bool) {
-	f.pressFrom(float64(f.now), o, perSecond, until, where)
+// generate has requests of an organisation arrive at random daemons, at a rate, until a time.
+// where selects the daemons; nil means any.
+func (f *fleet) generate(o int, perSecond float64, until timekeeper.Millis, where func(d int) bool) {
+	f.generateFrom(float64(f.now), o, perSecond, until, where)
 }
 
-// pressFrom goes on from a time with fractions of a millisecond.
-func (f *fleet) pressFrom(at float64, o int, perSecond float64, until timekeeper.Millis, where func(d int) bool) {
+// generateFrom continues from a time with fractions of a millisecond.
+func (f *fleet) generateFrom(at float64, o int, perSecond float64, until timekeeper.Millis, where func(d int) bool) {
 	next := at + f.random.ExpFloat64()/perSecond*float64(second)
 	f.after(timekeeper.Millis(next)-f.now, func() {
 		if f.now > until {
@@ -337,10 +340,10 @@
 		for range 100 {
 			d := f.random.IntN(len(f.daemons))
 			if where == nil || where(d) {
-				f.ask(d, o)
+				f.request(d, o)
 				break
 			}
 		}
-		f.pressFrom(next, o, perSecond, until, where)
+		f.generateFrom(next, o, perSecond, until, where)
 	})
 }
--- a/internal/request/limiter/limiter.go
+++ b/internal/request/limiter/limiter.go
@@ -10,14 +10,14 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// startEvery is how often it is looked at while this daemon has just started and hears nobody:
-// requests wait for that.
-const startEvery = 50 * time.Millisecond
+// startPollInterval is how often the fleet is polled while this daemon has just started and
+// hears no other one. Requests wait for that.
+const startPollInterval = 50 * time.Millisecond
 
-// censusEvery is how often the view of the fleet is looked at: half a heartbeat.
-const censusEvery = 250 * time.Millisecond
+// viewInterval is how often the view of the fleet is updated: half a heartbeat.
+const viewInterval = 250 * time.Millisecond
 
-// Limiter is the limits at one daemon. Build it with New.
+// Limiter enforces the limits at one daemon. Use New to create one.
 type Limiter struct {
 	options Options
 
@@ -25,78 +25,77 @@
 	core Core
 }
 
-// Options are what a Limiter needs. All but Clock must be set.
+// Options are the dependencies of a Limiter. All but Clock must be set.
 type Options struct {
 	Tolerance func() Tolerance
-	// Census returns what is known of the fleet.
+	// Census returns the current view of the fleet.
 	Census func() Census
-	// Organisation returns the one whose name has a hash, nil for none.
+	// Organisation returns the organisation whose name has a hash, or nil.
 	Organisation func(hasher.Hash) *authenticator.Organisation
 	Send         func(Envelope)
 	Clock        timekeeper.Clock
 }
 
-// New returns the limits at one daemon.
+// New returns the Limiter of one daemon.
 func New(o Options) *Limiter {
 	return &Limiter{options: o, core: Core{Organisation: o.Organisation}}
 }
 
-// Run keeps the view of the fleet up to date until ctx ends.
+// Run keeps the view of the fleet up to date until ctx is done.
 func (l *Limiter) Run(ctx context.Context) {
 	l.Observe()
 	for l.starting() && ctx.Err() == nil {
-		time.Sleep(startEvery)
+		time.Sleep(startPollInterval)
 		l.Observe()
 	}
-	timekeeper.Every(ctx, censusEvery, l.Observe)
+	timekeeper.Every(ctx, viewInterval, l.Observe)
 }
 
-// starting tells whether others may yet be heard.
+// starting reports whether the daemon has just started and may still hear others.
 func (l *Limiter) starting() bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	return l.core.census.Starting
+	return l.core.view.Starting
 }
 
-// awaitStart waits while others may yet be heard, which is a bounded time.
-func (l *Limiter) awaitStart(ctx context.Context) {
+// waitForStart blocks while the daemon is starting, which takes a bounded time.
+func (l *Limiter) waitForStart(ctx context.Context) {
 	for l.starting() && ctx.Err() == nil {
-		time.Sleep(startEvery)
+		time.Sleep(startPollInterval)
 	}
 }
 
-// Observe looks at the fleet once.
+// Observe updates the view of the fleet once.
 func (l *Limiter) Observe() {
-	census, tolerance := l.options.Census(), l.options.Tolerance()
+	view, tolerance := l.options.Census(), l.options.Tolerance()
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.core.Tolerance = tolerance
-	l.core.Observe(l.options.Clock.Now(), census)
+	l.core.Observe(l.options.Clock.Now(), view)
 }
 
-// Take asks for a token for one request of an organisation, and waits for it for a bounded
-// time.
+// Take asks for a token for one request of an organisation and waits for a bounded time.
 func (l *Limiter) Take(ctx context.Context, o *authenticator.Organisation) Verdict {
 	if o.Limit.Unlimited() {
 		return Verdict{Outcome: Admitted}
 	}
-	l.awaitStart(ctx)
+	l.waitForStart(ctx)
 	var t Ticket
 	decided := make(chan struct{})
 	t.Decided = func() { close(decided) }
-	l.do(func(now timekeeper.Millis) []Envelope { return l.core.Take(now, o, &t) })
+	l.apply(func(now timekeeper.Millis) []Envelope { return l.core.Take(now, o, &t) })
 	if v, done := l.verdict(&t); done {
 		return v
 	}
-	wait := time.NewTicker(Patience.Duration())
+	wait := time.NewTicker(AllocatorTimeout.Duration())
 	defer wait.Stop()
 	for {
 		select {
 		case <-decided:
 		case <-wait.C:
-			l.do(func(now timekeeper.Millis) []Envelope { return l.core.Late(now, o, &t) })
+			l.apply(func(now timekeeper.Millis) []Envelope { return l.core.HandleTimeout(now, o, &t) })
 		case <-ctx.Done():
-			l.giveUp(&t)
+			l.cancel(&t)
 		}
 		if v, done := l.verdict(&t); done {
 			return v
@@ -104,23 +103,23 @@
 	}
 }
 
-func (l *Limiter) giveUp(t *Ticket) {
+func (l *Limiter) cancel(t *Ticket) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.core.GiveUp(t)
+	l.core.Cancel(t)
 }
 
 // Return gives back the token of a request that did not run.
 func (l *Limiter) Return(o *authenticator.Organisation) {
-	l.do(func(now timekeeper.Millis) []Envelope { return l.core.Return(now, o) })
+	l.apply(func(now timekeeper.Millis) []Envelope { return l.core.Return(now, o) })
 }
 
-// Receive takes a message of another daemon.
+// Receive handles a message of another daemon.
 func (l *Limiter) Receive(from string, m Message) {
-	l.do(func(now timekeeper.Millis) []Envelope { return l.core.Receive(now, from, m) })
+	l.apply(func(now timekeeper.Millis) []Envelope { return l.core.Receive(now, from, m) })
 }
 
-// Forget drops what is known of organisations that had no requests for long.
+// Forget drops the state of organisations that have been idle for longer than idleExpiry.
 func (l *Limiter) Forget() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -133,9 +132,9 @@
 	return t.Verdict, t.Verdict.Outcome != Waiting
 }
 
-// do runs one step of the core and sends what it wants to be sent.
-func (l *Limiter) do(step func(now timekeeper.Millis) []Envelope) {
-	out, due := l.locked(step)
+// apply runs one step of the core and sends the resulting messages.
+func (l *Limiter) apply(step func(now timekeeper.Millis) []Envelope) {
+	out, due := l.applyLocked(step)
 	for _, e := range out {
 		l.options.Send(e)
 	}
@@ -144,7 +143,7 @@
 	}
 }
 
-func (l *Limiter) locked(step func(now timekeeper.Millis) []Envelope) ([]Envelope, timekeeper.Millis) {
+func (l *Limiter) applyLocked(step func(now timekeeper.Millis) []Envelope) ([]Envelope, timekeeper.Millis) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	out := step(l.options.Clock.Now())
@@ -152,5 +151,5 @@
 }
 
 func (l *Limiter) tick() {
-	l.do(l.core.Tick)
+	l.apply(l.core.Tick)
 }
--- a/internal/request/limiter/limits_test.go
+++ b/internal/request/limiter/limits_test.go
@@ -12,69 +12,70 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// figures is what a load cost and broke.
-type figures struct {
-	asked, below int
-	// above is the most that any organisation was above what its limit tolerates.
-	above float64
-	// messages and bytes are by daemon and second.
+// result holds the cost of a load and its violations.
+type result struct {
+	asked, refusedBelow int
+	// maxExcess is the maximum by which any organisation exceeded its limit and tolerance.
+	maxExcess float64
+	// messages and bytes are per daemon and second.
 	messages, bytes float64
 }
 
-func (f *fleet) figures(length timekeeper.Millis) (g figures) {
-	g.above = math.Inf(-1)
-	for o := range f.all {
+func (f *fleet) result(length timekeeper.Millis) (g result) {
+	g.maxExcess = math.Inf(-1)
+	for o := range f.organisations {
 		g.asked += len(f.counts[o].asked)
-		g.below += len(f.counts[o].below)
-		g.above = max(g.above, f.above(o))
+		g.refusedBelow += len(f.counts[o].refusedBelow)
+		g.maxExcess = max(g.maxExcess, f.excess(o))
 	}
 	per := float64(len(f.daemons)) * float64(length) / float64(second)
 	g.messages, g.bytes = float64(f.messages)/per, float64(f.bytes)/per
 	return g
 }
 
-// load plays 30 s: a hot organisation of each size for 6 s, callers who move to one region,
-// and daemons that are killed or cut off.
-func load(f *fleet, demands []float64, faults bool) figures {
+// simulateLoad simulates 30 s with one hot organisation of each size for 6 s, callers that
+// move to one region, and, with faults, daemons that are killed or isolated.
+func simulateLoad(f *fleet, demands []float64, faults bool) result {
 	const start, end = 8 * second, 38 * second
 	f.run(start)
 	for o, d := range demands {
-		f.press(o, d, end, nil)
+		f.generate(o, d, end, nil)
 	}
 	for i, o := range []int{0, 10, 40} {
 		at := timekeeper.Millis(4+7*i) * second
-		f.after(at, func() { f.press(o, 7.5*demands[o], f.now+6*second, nil) })
+		f.after(at, func() { f.generate(o, 7.5*demands[o], f.now+6*second, nil) })
 	}
-	f.after(2*second, func() { f.press(1, demands[1]/2, f.now+6*second, func(d int) bool { return f.region(d) == 0 }) })
+	f.after(2*second, func() { f.generate(1, demands[1]/2, f.now+6*second, func(d int) bool { return f.region(d) == 0 }) })
 	if faults {
-		f.after(10*second, func() { f.each(0.3, f.cutOff, 5*second) })
-		f.after(20*second, func() { f.each(0.5, f.kill, 2*second) })
+		f.after(10*second, func() { f.disturb(0.3, f.cutOff, 5*second) })
+		f.after(20*second, func() { f.disturb(0.5, f.kill, 2*second) })
 		f.after(26*second, func() { f.kill(0) })
-		f.after(27*second, func() { f.back(0) })
+		f.after(27*second, func() { f.restore(0) })
 	}
 	f.run(end + second)
-	return f.figures(end - start)
+	return f.result(end - start)
 }
 
-// each does something to a part of the daemons, the leads of two regions among them, and
-// brings them back later.
-func (f *fleet) each(part float64, do func(int), later timekeeper.Millis) {
+// disturb applies a fault to a share of the daemons, the leaders of two regions among them,
+// and restores them later.
+func (f *fleet) disturb(part float64, do func(int), later timekeeper.Millis) {
 	for d := range f.daemons {
 		if d < 2 || f.random.Float64() < part {
 			do(d)
-			f.after(later, func() { f.back(d) })
+			f.after(later, func() { f.restore(d) })
 		}
 	}
 }
 
-// ways are all that are compared.
-var ways = map[string]func(*fleet) way{
-	"counted":   func(f *fleet) way { return newCounted(f) },
-	"equal":     func(f *fleet) way { return newEqual(f) },
-	"following": func(f *fleet) way { return newFollowing(f) },
+// strategies are all strategies to compare.
+var strategies = map[string]func(*fleet) strategy{
+	"counted":   func(f *fleet) strategy { return newAllocatorStrategy(f) },
+	"equal":     func(f *fleet) strategy { return newEqualShares(f) },
+	"following": func(f *fleet) strategy { return newDemandShares(f) },
 }
 
-// BenchmarkWays reports what each way costs and breaks at three sizes, on the same seeds.
+// BenchmarkWays reports the cost and the violations of each strategy at three sizes, with the
+// same seeds.
 func BenchmarkWays(b *testing.B) {
 	for _, n := range []int{10, 64, 300} {
 		for _, faults := range []bool{false, true} {
@@ -91,25 +92,25 @@
 
 func report(b *testing.B, name string, n int, faults bool) {
 	const seeds = 3
-	g := figures{above: math.Inf(-1)}
+	g := result{maxExcess: math.Inf(-1)}
 	for seed := range uint64(seeds) {
 		all, demands := organisations(74, 31*float64(n))
 		f := newFleet(n, seed, all...)
-		f.way = ways[name](f)
-		one := load(f, demands, faults)
-		g.asked, g.below = g.asked+one.asked, g.below+one.below
-		g.above = max(g.above, one.above)
+		f.strategy = strategies[name](f)
+		one := simulateLoad(f, demands, faults)
+		g.asked, g.refusedBelow = g.asked+one.asked, g.refusedBelow+one.refusedBelow
+		g.maxExcess = max(g.maxExcess, one.maxExcess)
 		g.messages, g.bytes = g.messages+one.messages/seeds, g.bytes+one.bytes/seeds
 	}
-	b.ReportMetric(100*float64(g.below)/float64(g.asked), "%below")
-	b.ReportMetric(g.above, "above")
+	b.ReportMetric(100*float64(g.refusedBelow)/float64(g.asked), "%below")
+	b.ReportMetric(g.maxExcess, "above")
 	b.ReportMetric(g.messages, "messages/VM/s")
 	b.ReportMetric(g.bytes, "bytes/VM/s")
 }
 
-// TestWithinLimits plays loads with hot organisations and faults at three sizes: no
-// organisation is ever above what its limit tolerates, and without faults nearly none of the
-// requests within it is refused.
+// TestWithinLimits simulates loads with hot organisations and faults at three sizes. No
+// organisation may exceed its limit and tolerance, and without faults at most 0.1% of the
+// requests within the limits may be refused.
 func TestWithinLimits(t *testing.T) {
 	for _, n := range []int{2, 10, 64} {
 		for _, faults := range []bool{false, true} {
@@ -117,80 +118,80 @@
 				is := is.New(t)
 				all, demands := organisations(74, 31*float64(n))
 				f := newFleet(n, 7, all...)
-				f.way = newCounted(f)
-				g := load(f, demands, faults)
-				is.True(g.above <= 0)
+				f.strategy = newAllocatorStrategy(f)
+				g := simulateLoad(f, demands, faults)
+				is.True(g.maxExcess <= 0)
 				if !faults {
-					is.True(float64(g.below) <= 0.001*float64(g.asked))
+					is.True(float64(g.refusedBelow) <= 0.001*float64(g.asked))
 				}
 			})
 		}
 	}
 }
 
-// TestWithinLimitsUnderFaults plays the load with faults on more seeds.
+// TestWithinLimitsUnderFaults simulates the load with faults for more seeds.
 func TestWithinLimitsUnderFaults(t *testing.T) {
 	for n, seeds := range map[int]uint64{10: 8, 64: 3} {
 		for seed := range seeds {
 			all, demands := organisations(74, 31*float64(n))
 			f := newFleet(n, 100+seed, all...)
-			f.way = newCounted(f)
-			if g := load(f, demands, true); g.above > 0 {
-				t.Errorf("%d VMs, seed %d: an organisation was %.0f requests above what its limit tolerates", n, seed, g.above)
+			f.strategy = newAllocatorStrategy(f)
+			if g := simulateLoad(f, demands, true); g.maxExcess > 0 {
+				t.Errorf("%d VMs, seed %d: an organisation was %.0f requests above what its limit tolerates", n, seed, g.maxExcess)
 			}
 		}
 	}
 }
 
-// TestSmallLimits has organisations of one request a second, with and without a burst.
+// TestSmallLimits checks organisations with one request a second, with and without a burst.
 func TestSmallLimits(t *testing.T) {
 	is := is.New(t)
-	all := prepared(
+	all := normalized(
 		&authenticator.Organisation{Name: "one", Limit: authenticator.Limit{PerSecond: 1}},
 		&authenticator.Organisation{Name: "burst", Limit: authenticator.Limit{PerSecond: 1, Burst: 3}},
 		&authenticator.Organisation{Name: "free"},
 	)
 	f := newFleet(64, 3, all...)
-	f.way = newCounted(f)
+	f.strategy = newAllocatorStrategy(f)
 	f.run(8 * second)
 	for o := range all {
-		f.press(o, 20, 28*second, nil)
+		f.generate(o, 20, 28*second, nil)
 	}
 	f.run(29 * second)
-	is.True(f.above(0) <= 0 && f.above(1) <= 0)
+	is.True(f.excess(0) <= 0 && f.excess(1) <= 0)
 	is.True(len(f.counts[0].admitted) >= 15) // of 20 in 20 s
 	is.Equal(len(f.counts[2].admitted), len(f.counts[2].asked))
 }
 
-// TestPartsFollowCallers has all callers of an organisation move to one region: after a
-// second nearly all of them are served there, though its own part is a third.
+// TestPartsFollowCallers has all callers of an organisation move to one region. After a second
+// nearly all of them must be served there, although the region's own share is a third.
 func TestPartsFollowCallers(t *testing.T) {
 	is := is.New(t)
-	all := prepared(&authenticator.Organisation{Name: "o", Limit: authenticator.Limit{PerSecond: 160, Burst: 160}})
+	all := normalized(&authenticator.Organisation{Name: "o", Limit: authenticator.Limit{PerSecond: 160, Burst: 160}})
 	f := newFleet(64, 5, all...)
-	f.way = newCounted(f)
+	f.strategy = newAllocatorStrategy(f)
 	f.run(8 * second)
 	in := func(r int) func(int) bool { return func(d int) bool { return f.region(d) == r } }
-	f.press(0, 100, 13*second, in(1))
+	f.generate(0, 100, 13*second, in(1))
 	f.run(13 * second)
 	moved := f.now
-	f.press(0, 100, 20*second, in(2))
+	f.generate(0, 100, 20*second, in(2))
 	f.run(21 * second)
 	late := 0
-	for _, at := range f.counts[0].below {
+	for _, at := range f.counts[0].refusedBelow {
 		if at > moved+second {
 			late++
 		}
 	}
-	is.True(len(f.counts[0].below) <= 10)
+	is.True(len(f.counts[0].refusedBelow) <= 10)
 	is.Equal(late, 0)
 }
 
-// TestRefusedTogetherComeBackApart has many requests refused at once: each is told another
-// time.
+// TestRefusedTogetherComeBackApart has many requests refused at once: each must get another
+// retry time.
 func TestRefusedTogetherComeBackApart(t *testing.T) {
 	is := is.New(t)
-	all := prepared(&authenticator.Organisation{Name: "o", Limit: authenticator.Limit{PerSecond: 20, Burst: 2}})
+	all := normalized(&authenticator.Organisation{Name: "o", Limit: authenticator.Limit{PerSecond: 20, Burst: 2}})
 	core := limiter.Core{Tolerance: limiter.Tolerance{Window: 5 * second}}
 	core.Observe(0, limiter.Census{Known: 1, Near: 1, Counts: true})
 	seen := map[timekeeper.Millis]bool{}
--- a/internal/request/limiter/message.go
+++ b/internal/request/limiter/message.go
@@ -5,40 +5,41 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// The kinds of message.
+// The kinds of messages.
 const (
-	// Draw asks the counter of the region for tokens.
-	Draw Kind = iota + 1
-	// Grant answers a Draw.
+	// Acquire asks the allocator of a region for tokens.
+	Acquire Kind = iota + 1
+	// Grant is the response to Acquire.
 	Grant
-	// Borrow asks the counter of another region for tokens.
+	// Borrow asks the allocator of another region for tokens.
 	Borrow
-	// Loan answers a Borrow.
+	// Loan is the response to Borrow.
 	Loan
 )
 
 type (
-	// Kind says what a message is.
+	// Kind is the kind of a message.
 	Kind uint8
 
-	// Message is what daemons tell each other of one organisation. One that is lost costs
-	// tokens and never makes any.
+	// Message is exchanged between daemons about one organisation. A lost message may lose
+	// tokens but never creates any.
 	Message struct {
 		Kind         Kind
 		Organisation hasher.Hash
-		// Number is the asker's, and comes back with the answer: an answer to another
-		// question than the last one is dropped.
+		// Number is chosen by the sender of a request and returned in the response. A response
+		// to any request but the last one is dropped.
 		Number uint32
-		// Tokens are asked for or given, Need those of them that requests wait for.
+		// Tokens is the number of tokens requested or given, Need the part of the requested
+		// ones that requests are waiting for.
 		Tokens uint32
 		Need   uint32
-		// After is when a token is there for the first request that is refused, and Gap how
-		// much later for each further one of the same daemon.
+		// After is the delay until there is a token for the first refused request, and Gap the
+		// additional delay for each further one of the same daemon.
 		After timekeeper.Millis
 		Gap   timekeeper.Millis
 	}
 
-	// Envelope is a message to an address.
+	// Envelope is a message with the address of its receiver.
 	Envelope struct {
 		To string
 		Message
--- a/internal/request/limiter/model_test.go
+++ b/internal/request/limiter/model_test.go
@@ -9,31 +9,31 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// steps are what may happen next in the model. The daemons are two leads, 0 and 1, and 2,
-// which draws from 0.
+// steps are the possible steps of the model. Daemons 0 and 1 are leaders; daemon 2 acquires
+// tokens from 0.
 var steps = []struct {
 	name string
 	do   func(f *fleet)
 }{
-	{"requests at 0", func(f *fleet) { f.askOften(0, 4) }},
-	{"requests at 1", func(f *fleet) { f.askOften(1, 4) }},
-	{"requests at 2", func(f *fleet) { f.askOften(2, 4) }},
+	{"requests at 0", func(f *fleet) { f.requestTimes(0, 4) }},
+	{"requests at 1", func(f *fleet) { f.requestTimes(1, 4) }},
+	{"requests at 2", func(f *fleet) { f.requestTimes(2, 4) }},
 	{"first message arrives", func(f *fleet) { f.release(0, true) }},
 	{"last message arrives", func(f *fleet) { f.release(len(f.held)-1, true) }},
 	{"first message is lost", func(f *fleet) { f.release(0, false) }},
 	{"200 ms pass", func(f *fleet) { f.run(f.now + 200) }},
-	{"0 is cut off, and missed", func(f *fleet) { f.cutOff(0); f.run(f.now + leadSilence) }},
-	{"0 is killed and starts again", func(f *fleet) { f.kill(0); f.back(0) }},
-	{"0 is back", func(f *fleet) { f.back(0) }},
+	{"0 is cut off, and missed", func(f *fleet) { f.cutOff(0); f.run(f.now + leaderTimeout) }},
+	{"0 is killed and starts again", func(f *fleet) { f.kill(0); f.restore(0) }},
+	{"0 is back", func(f *fleet) { f.restore(0) }},
 }
 
-func (f *fleet) askOften(d, n int) {
+func (f *fleet) requestTimes(d, n int) {
 	for range n {
-		f.ask(d, 0)
+		f.request(d, 0)
 	}
 }
 
-// release lets a message that is held arrive, or get lost.
+// release delivers or drops a held message.
 func (f *fleet) release(i int, arrives bool) {
 	if i < 0 || i >= len(f.held) {
 		return
@@ -45,43 +45,43 @@
 	}
 }
 
-// small is three daemons in two regions that have run for a while.
-func small(all ...*authenticator.Organisation) *fleet {
+// smallFleet returns three daemons in two regions that have run for a while.
+func smallFleet(all ...*authenticator.Organisation) *fleet {
 	f := newFleet(3, 1, all...)
 	f.regions, f.tolerance, f.hold = 2, limiter.Tolerance{Window: second, Slack: 4}, true
-	f.way = newCounted(f)
+	f.strategy = newAllocatorStrategy(f)
 	f.run(3 * second)
 	return f
 }
 
-// play plays one order of steps and says by how much the limit was exceeded.
-func play(order []int, all ...*authenticator.Organisation) float64 {
-	f := small(all...)
+// playSteps runs a sequence of steps and returns the excess over the limit.
+func playSteps(order []int, all ...*authenticator.Organisation) float64 {
+	f := smallFleet(all...)
 	for _, i := range order {
 		steps[i].do(f)
 	}
-	return f.above(0)
+	return f.excess(0)
 }
 
-func named(order []int) (names []string) {
+func stepNames(order []int) (names []string) {
 	for _, i := range order {
 		names = append(names, steps[i].name)
 	}
 	return names
 }
 
-// TestAllInterleavings plays all orders of a few steps: requests, messages that arrive in
-// another order or not at all, time, a lead that is cut off, killed or back.
+// TestAllInterleavings runs all sequences of a few steps: requests, messages that are
+// reordered or lost, elapsing time, and a leader that is isolated, killed or restored.
 func TestAllInterleavings(t *testing.T) {
 	depth := 5
 	if testing.Short() {
 		depth = 4
 	}
-	all := prepared(&authenticator.Organisation{Name: "o", Limit: authenticator.Limit{PerSecond: 4, Burst: 4}})
+	all := normalized(&authenticator.Organisation{Name: "o", Limit: authenticator.Limit{PerSecond: 4, Burst: 4}})
 	order := make([]int, depth)
 	for {
-		if above := play(order, all...); above > 0 {
-			t.Fatal("above the limit by ", above, ": ", named(order))
+		if excess := playSteps(order, all...); excess > 0 {
+			t.Fatal("above the limit by ", excess, ": ", stepNames(order))
 		}
 		i := 0
 		for i < depth {
@@ -97,31 +97,31 @@
 	}
 }
 
-// FuzzInterleavings plays longer orders of the same steps with other limits.
+// FuzzInterleavings runs longer sequences of the same steps with other limits.
 func FuzzInterleavings(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 6, 7, 1, 2, 3, 4, 9, 0, 2, 6, 3}, byte(4), byte(4))
 	f.Add([]byte{2, 2, 3, 2, 3, 6, 8, 2, 5, 0, 1, 2, 6, 6, 9}, byte(20), byte(0))
 	f.Fuzz(func(t *testing.T, order []byte, perSecond, burst byte) {
 		limit := authenticator.Limit{PerSecond: 1 + float64(perSecond%40), Burst: float64(burst % 40)}
-		all := prepared(&authenticator.Organisation{Name: "o", Limit: limit})
-		var steps10 []int
+		all := normalized(&authenticator.Organisation{Name: "o", Limit: limit})
+		var sequence []int
 		for _, b := range order[:min(len(order), 200)] {
-			steps10 = append(steps10, int(b)%len(steps))
+			sequence = append(sequence, int(b)%len(steps))
 		}
-		if above := play(steps10, all...); above > 0 {
-			t.Fatal("above the limit of ", fmt.Sprint(limit), " by ", above, ": ", named(steps10))
+		if excess := playSteps(sequence, all...); excess > 0 {
+			t.Fatal("above the limit of ", fmt.Sprint(limit), " by ", excess, ": ", stepNames(sequence))
 		}
 	})
 }
 
-// BenchmarkTake is what a request pays at a daemon that has tokens, with 10,000
+// BenchmarkTake measures the cost of a request at a daemon that has tokens, with 10,000
 // organisations.
 func BenchmarkTake(b *testing.B) {
 	var list []*authenticator.Organisation
 	for i := range 10_000 {
 		list = append(list, &authenticator.Organisation{Name: authenticator.Name(fmt.Sprint(i)), Limit: authenticator.Limit{PerSecond: 1e9, Burst: 1e9}})
 	}
-	list = prepared(list...)
+	list = normalized(list...)
 	core := &limiter.Core{Tolerance: tolerance}
 	core.Observe(0, limiter.Census{Known: 1, Near: 1, Counts: true})
 	now := 10 * second
--- a/internal/request/limiter/tolerance.go
+++ b/internal/request/limiter/tolerance.go
@@ -6,55 +6,58 @@
 )
 
 const (
-	// firstTolerance is the part of the tolerance with which a counter begins: what its
-	// predecessor handed out is not known, and nothing at all would refuse many requests.
-	firstTolerance = 0.1
-
-	// usedTolerance is the part of the tolerance that buckets hold beside the burst. The rest
-	// covers counters that overlap when another one takes over, and parts of daemons that are alone.
-	usedTolerance = 0.4
-
-	// headroom is how many times its rate an organisation may have in tokens that are handed
-	// out in advance and not lapsed: one region may have to carry it all by its part.
-	headroom = 2.5
-
-	leastLifetime = 100 * timekeeper.Millis(1)
-	mostLifetime  = 500 * timekeeper.Millis(1)
+	// initialShare is the share of the tolerance with which an allocator begins. What its
+	// predecessor handed out is not known, and beginning with nothing would refuse many
+	// requests.
+	initialShare = 0.1
+
+	// bucketShare is the share of the tolerance that buckets hold in addition to the burst.
+	// The rest covers allocators that overlap during a takeover, and the shares of isolated
+	// daemons.
+	bucketShare = 0.4
+
+	// headroomFactor is how many times its rate an organisation may have in tokens that are
+	// issued in advance and not expired: one region may have to carry all of it with its
+	// share.
+	headroomFactor = 2.5
+
+	minLifetime = 100 * timekeeper.Millis(1)
+	maxLifetime = 500 * timekeeper.Millis(1)
 )
 
-// Tolerance is how far an organisation may be above its limit in a span of time: over times
-// what the limit allows in it, and slack requests more.
+// Tolerance is how far an organisation may exceed its limit within a window: by Over times
+// what the limit allows in it, plus Slack requests.
 type Tolerance struct {
 	Window timekeeper.Millis
 	Over   float64
 	Slack  float64
 }
 
-// of returns how many requests more than a limit allows may be sent in a window.
-func (t Tolerance) of(l authenticator.Limit) float64 {
+// excess returns how many requests more than the limit may be sent in a window.
+func (t Tolerance) excess(l authenticator.Limit) float64 {
 	return t.Over*(l.PerSecond*seconds(t.Window)+l.Burst) + t.Slack
 }
 
-// capacity is what all buckets of a limit hold together.
+// capacity returns the total capacity of all buckets of a limit.
 func (t Tolerance) capacity(l authenticator.Limit) float64 {
-	return l.Burst + usedTolerance*t.of(l)
+	return l.Burst + bucketShare*t.excess(l)
 }
 
-// first is with how many tokens all counters of a limit begin together.
-func (t Tolerance) first(l authenticator.Limit) float64 {
-	return firstTolerance * t.of(l)
+// initialTokens returns the total number of tokens with which all allocators of a limit begin.
+func (t Tolerance) initialTokens(l authenticator.Limit) float64 {
+	return initialShare * t.excess(l)
 }
 
-// lifetime is how long a token may be used after it was asked for.
+// lifetime returns how long a token may be used after it was requested.
 func (t Tolerance) lifetime(l authenticator.Limit) timekeeper.Millis {
-	m := millis(t.capacity(l) / (headroom * l.PerSecond))
-	return min(max(m, leastLifetime), mostLifetime)
+	m := toMillis(t.capacity(l) / (headroomFactor * l.PerSecond))
+	return min(max(m, minLifetime), maxLifetime)
 }
 
 func seconds(m timekeeper.Millis) float64 {
 	return float64(m) / float64(timekeeper.Second)
 }
 
-func millis(seconds float64) timekeeper.Millis {
+func toMillis(seconds float64) timekeeper.Millis {
 	return timekeeper.Millis(seconds * float64(timekeeper.Second))
 }
--- a/internal/request/limiter/verdict.go
+++ b/internal/request/limiter/verdict.go
@@ -4,57 +4,59 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// What becomes of a request.
+// The outcomes of a request.
 const (
-	// Waiting is not decided yet.
+	// Waiting means that the request is not decided yet.
 	Waiting Outcome = iota
-	// Admitted may be sent.
+	// Admitted means that the request may be sent.
 	Admitted
-	// Over is beyond the limit of its organisation.
+	// Over means that the request exceeds the limit of its organisation.
 	Over
-	// Unknown can't be told: nobody who counts is heard, and this daemon's own part is used.
+	// Unknown means that no allocator is heard and this daemon's own share is used up.
 	Unknown
 )
 
 type (
-	// Outcome is what becomes of a request.
+	// Outcome is the outcome of a request for a token.
 	Outcome uint8
 
-	// Verdict is what becomes of a request, and when its caller may come back.
+	// Verdict is an outcome and the delay after which the caller may retry.
 	Verdict struct {
 		Outcome Outcome
 		After   timekeeper.Millis
 	}
 
-	// Ticket is one request that asks for a token.
+	// Ticket is one request for a token.
 	Ticket struct {
 		Verdict Verdict
-		// Decided is called once, with the Core's owner in charge, when a ticket that
-		// waited is decided. Nil means nobody is told.
+		// Decided is called once, under the lock of the Core's owner, when a waiting ticket is
+		// decided. Nil means there is no callback.
 		Decided func()
 
-		// late is how often the request asked somebody else.
-		late int
+		// timeouts is how often the request moved on to another allocator.
+		timeouts int
 	}
 
-	// Census is what a daemon knows of those who share the limits.
+	// Census is a daemon's view of the fleet members that share the limits.
 	Census struct {
-		// Known are the members of the fleet that may send requests, this one included,
-		// and Near those of its region that it hears.
+		// Known is the number of fleet members that may send requests, including this one, and
+		// Near the number of those of its region that it hears.
 		Known int
 		Near  int
-		// Counts tells that this member counts for its region, and Counter is the address of
-		// the one that does, "" for none.
+		// Counts reports that this member is the limit allocator of its region; Counter is the
+		// address of that allocator otherwise, "" for none.
 		Counts  bool
 		Counter string
-		// Others are the addresses of those that count for the other regions. They are
-		// borrowed from by a counter, and drawn from where that of the region is silent.
+		// Others are the addresses of the allocators of the other regions. An allocator
+		// borrows from them, and a daemon acquires from them when its region's allocator is
+		// silent.
 		Others []string
-		// Alone tells that the member knows of others and hears none.
+		// Alone reports that the member knows others but hears none.
 		Alone bool
-		// Starting tells that it is alone since it has just started, and may yet hear others.
+		// Starting reports that the member is alone because it has just started, and may still
+		// hear others.
 		Starting bool
-		// Sole tells that there are no others by design: buckets begin full.
+		// Sole reports that there are no other daemons by design: buckets begin full.
 		Sole bool
 	}
 )
@@ -69,12 +71,12 @@
 	}
 }
 
-// part is the region's part of a limit.
-func (c Census) part() float64 {
+// regionShare returns the region's share of a limit.
+func (c Census) regionShare() float64 {
 	return float64(c.Near) / float64(max(c.Known, c.Near, 1))
 }
 
-// own is the part of a daemon that hears nobody who counts.
-func (c Census) own() float64 {
+// ownShare returns the share of a daemon that hears no allocator.
+func (c Census) ownShare() float64 {
 	return 1 / float64(max(c.Known, 1))
 }
