--- a/internal/request/exchanger/doc.go
+++ b/internal/request/exchanger/doc.go
@@ -1,4 +1,4 @@
-// Package exchanger defines one request on its way and the outcome that it
-// ends with. Entries, links and owners all speak in these terms, so a request
-// that is run here and one that is run across a link look the same.
+// Package exchanger defines a request in transit and its outcome. Entries, links and owners
+// share these types, so a request that runs locally and one that runs across a link look the
+// same.
 package exchanger
--- a/internal/request/exchanger/exchange.go
+++ b/internal/request/exchanger/exchange.go
@@ -9,17 +9,17 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// The outcomes. The zero value claims least.
+// The outcomes of a request. The zero value, Unknown, makes the weakest claim.
 const (
 	// Unknown means that the request may have run.
 	Unknown Outcome = iota
-	// NotRun means that the request certainly did not run and never will.
+	// NotRun means that the request did not run and never will.
 	NotRun
-	// Answered means that the upstream answered it.
+	// Answered means that the upstream responded.
 	Answered
 )
 
-// The reasons for any outcome but an answer.
+// The reasons for outcomes other than Answered.
 const (
 	ReasonNone           Reason = ""
 	ReasonQueueFull      Reason = "queue full"
@@ -52,20 +52,20 @@
 )
 
 type (
-	// Outcome says what became of a request.
+	// Outcome is the outcome of a request.
 	Outcome uint8
 
-	// Reason says why a request has the outcome that it has.
+	// Reason is the reason for an outcome.
 	Reason string
 
-	// RequestID names one request within the fleet.
+	// RequestID identifies a request within the fleet.
 	RequestID string
 
-	// Head is everything about a request but its body.
+	// Head is a request without its body.
 	Head struct {
 		ID      RequestID
 		Service resolver.ServiceName
-		// Site is where the request is to run.
+		// Site is the site at which the request is to run.
 		Site registrar.Site
 		// Origin is the failure domain of the caller's block.
 		Origin registrar.Site
@@ -74,13 +74,13 @@
 		Target string
 		Host   string
 		Header http.Header
-		// Length is the length of the body, -1 when it is not known.
+		// Length is the length of the body in bytes, -1 if unknown.
 		Length int64
 		// Deadline is a reading of this process's monotonic clock, 0 for none.
 		Deadline timekeeper.Millis
 	}
 
-	// Answer is the head of an upstream's answer.
+	// Answer is the head of an upstream's response.
 	Answer struct {
 		Status   int
 		Header   http.Header
@@ -88,47 +88,47 @@
 		Upstream string
 	}
 
-	// Call is one request and where its answer goes. The functions are called
-	// by one goroutine at a time, in their order here.
+	// Call is a request with the callbacks that receive its response. The callbacks are called
+	// by one goroutine at a time, in the order given here.
 	Call struct {
 		Head
-		// Relayed tells that another daemon handed the call over and that it
-		// may go one link further at most, to an owner.
+		// Relayed reports that another daemon handed the call over. It may then cross at most
+		// one more link, to an owner.
 		Relayed bool
-		// Key is the Idempotency-Key that the call was handed over for, "" for
-		// none. Held tells that the receiver is known to hold the key, Look that
-		// it is only asked whether it does.
+		// Key is the Idempotency-Key that the call was handed over for, "" for none. Held
+		// reports that the receiver is known to hold the key. Look means that the receiver is
+		// only asked whether it does.
 		Key  string
 		Held bool
 		Look bool
-		// FirstTry tells that the caller sends the key for the first time, so
-		// that a call which was handed to nobody did not run.
+		// FirstTry reports that the caller sends the key for the first time, so that a call
+		// which was handed to no daemon did not run.
 		FirstTry bool
-		// Detour tells that the call's own site does not serve it; the one
-		// that it is sent to may refuse it to stay below its limit.
+		// Detour reports that the call's own site does not serve it. The site that it is sent
+		// to may refuse it to stay below its own limit.
 		Detour bool
-		// Body is nil when there is none. It is read only after Admitted, unless BodyReady
-		// tells that it comes from the caller itself.
+		// Body is nil if there is none. It is read only after Admitted was called, unless
+		// BodyReady reports that it comes directly from the caller.
 		Body      io.Reader
 		BodyReady bool
-		// Short holds the whole body when it is short, so that a refused try
-		// costs no extra round trip; Body is nil then.
+		// Short holds the whole body if it is short, so that a refused attempt costs no extra
+		// round trip. Body is nil then.
 		Short []byte
-		// Admitted is called once a slot is held, before anything is sent.
+		// Admitted is called once a slot is acquired, before anything is sent.
 		Admitted func()
-		// Start receives the head of the answer.
+		// Start receives the head of the response.
 		Start func(Answer) error
-		// Write receives a piece of the body of the answer.
+		// Write receives a part of the response body.
 		Write func([]byte) error
 		// Trailer receives the trailers, if there are any.
 		Trailer func(http.Header)
 	}
 
-	// Result is how a call ended.
+	// Result is the result of a call.
 	Result struct {
 		Outcome Outcome
-		// Whole tells that the answer was handed on to its end. An answer that
-		// is not whole must reach the caller as a broken one.
+		// Whole reports that the response was passed on completely. An incomplete response
+		// must reach the caller as a broken one.
 		Whole      bool
 		Reason     Reason
 		RetryAfter timekeeper.Millis
@@ -136,7 +136,7 @@
 	}
 )
 
-// String names the outcome as it stands in the answer's header.
+// String returns the outcome as it is written in the response header.
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -147,12 +147,12 @@
 	return "unknown"
 }
 
-// Refused is the result of a call that did not run.
+// Refused returns the result of a call that did not run.
 func Refused(r Reason, after timekeeper.Millis) Result {
 	return Result{Outcome: NotRun, Reason: r, RetryAfter: after}
 }
 
-// Lost is the result of a call that may have run.
+// Lost returns the result of a call that may have run.
 func Lost(r Reason, upstream string) Result {
 	return Result{Outcome: Unknown, Reason: r, Upstream: upstream}
 }
--- a/internal/request/keykeeper/doc.go
+++ b/internal/request/keykeeper/doc.go
@@ -1,12 +1,12 @@
-// Package keykeeper makes requests with an Idempotency-Key run at most once.
+// Package keykeeper ensures that requests with an Idempotency-Key run at most once.
 //
-// Each key has one home, a daemon that alone may run it and remembers what became
-// of it while it lives. A key made by the finder library names its home: the
-// incarnation of the entry that the caller was told to use first. Whoever else
-// receives the key hands the request to that daemon; if it is gone, the outcome
-// is unknown and the request is never run a second time.
+// Each key has one home: the only daemon that may run its request, which remembers the outcome
+// as long as the daemon lives. A key made by the finder library names its home, the
+// incarnation of the entry that the caller was told to use first. Any other daemon that
+// receives the key forwards the request to its home; if the home is gone, the outcome is
+// unknown and the request is never run a second time.
 //
-// A key begins in its home before the request may leave for an upstream. It ends
-// as answered, with the answer kept while there is room, as unknown, or, when the
-// request did not run, not at all, so that it may be tried again.
+// A key begins at its home before the request may be sent to an upstream. It ends as answered,
+// with the response kept if there is room, or as unknown. If the request did not run, the key
+// is removed, so that the request may be retried.
 package keykeeper
--- a/internal/request/keykeeper/keeper.go
+++ b/internal/request/keykeeper/keeper.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	shards = 64
+	shardCount = 64
 
-	// MaxAnswerBytes is the longest answer that is kept. Of a longer one only
-	// the outcome is.
-	MaxAnswerBytes = 64 << 10
+	// MaxResponseBytes is the maximum length of a response body that is kept. Of a longer one,
+	// only the outcome is kept.
+	MaxResponseBytes = 64 << 10
 
-	// DefaultRetention is how long a key is remembered after it ended.
+	// DefaultRetention is how long a key is remembered after it has ended.
 	DefaultRetention = 10 * timekeeper.Minute
 
-	// DefaultLimit bounds the memory of all keys of a daemon, in bytes.
+	// DefaultLimit is the maximum memory for all keys of a daemon, in bytes.
 	DefaultLimit = 32 << 20
 
-	// recordBytes is what a key takes besides its answer, in bytes.
-	recordBytes = 400
+	// recordOverhead is the approximate memory of a key without its response, in bytes.
+	recordOverhead = 400
 )
 
 // The states of a key.
 const (
-	// Absent is a key that is not known here.
+	// Absent means that the key is unknown here.
 	Absent State = iota
-	// Running is a key whose request is under way.
+	// Running means that the key's request is in progress.
 	Running
-	// Ended is a key whose request has an outcome.
+	// Ended means that the key's request has an outcome.
 	Ended
 )
 
-// What became of an attempt to begin a key.
+// The results of Begin.
 const (
-	// Begun means that the caller of Begin runs the request and must End it.
-	Begun Verdict = iota
-	// Repeated means that the key is known: see its record.
+	// Begun means that the caller of Begin runs the request and must call End.
+	Begun BeginResult = iota
+	// Repeated means that the key is known; its record is returned.
 	Repeated
 	// Mismatch means that the key was used for another request.
 	Mismatch
@@ -54,53 +54,53 @@
 	// Key is the value of an Idempotency-Key field.
 	Key string
 
-	// State is where a key stands.
+	// State is the state of a key.
 	State uint8
 
-	// Verdict is the answer to Begin.
-	Verdict uint8
+	// BeginResult is the result of Begin.
+	BeginResult uint8
 
-	// Print tells requests apart that carry the same key.
+	// Print is a hash that distinguishes requests with the same key.
 	Print uint64
 
-	// Keeper remembers keys. The zero value is ready.
+	// Keeper stores keys. The zero value is ready to use.
 	Keeper struct {
 		Clock timekeeper.Clock
 		// Retention returns how long keys are remembered; nil means
 		// DefaultRetention.
 		Retention func() timekeeper.Millis
-		// Limit bounds the memory in bytes; 0 means DefaultLimit.
+		// Limit is the maximum memory in bytes; 0 means DefaultLimit.
 		Limit int64
 
-		parts [shards]shard
+		shards [shardCount]shard
 	}
 
 	shard struct {
 		lock    sync.Mutex
 		records map[Key]*Record
 		bytes   int64
-		swept   timekeeper.Millis
+		sweptAt timekeeper.Millis
 	}
 
-	// Record is a key and what became of its request.
+	// Record holds the state and outcome of a key's request.
 	Record struct {
-		print   Print
-		ended   chan struct{}
-		expires timekeeper.Millis
+		fingerprint Print
+		done        chan struct{}
+		expires     timekeeper.Millis
 
-		// Result and Answer are valid once the key has ended.
-		result exchanger.Result
-		answer *Answer
+		// result and response are valid once done is closed.
+		result   exchanger.Result
+		response *Response
 	}
 
-	// Answer is an answer that is kept.
-	Answer struct {
+	// Response is a kept response.
+	Response struct {
 		exchanger.Answer
 		Body []byte
 	}
 )
 
-// PrintOf returns the print of a request.
+// PrintOf returns the Print of a request.
 func PrintOf(method, target string, body []byte) Print {
 	d := xxhash.New()
 	_, _ = d.WriteString(method + " " + target + "\n")
@@ -108,35 +108,35 @@
 	return Print(d.Sum64())
 }
 
-// Begin claims a key for a request. Only one claim of a key is ever granted,
-// until it is ended as not run.
-func (k *Keeper) Begin(key Key, p Print) (*Record, Verdict) {
+// Begin claims a key for a request. Only one claim of a key succeeds, until it ends as not run
+// or its retention is over.
+func (k *Keeper) Begin(key Key, p Print) (*Record, BeginResult) {
 	s := k.shard(key)
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	now := k.Clock.Now()
 	k.sweep(s, now)
-	if r := s.records[key]; r != nil && !r.over(now) {
-		if r.print != p {
+	if r := s.records[key]; r != nil && !r.expired(now) {
+		if r.fingerprint != p {
 			return nil, Mismatch
 		}
 		return r, Repeated
 	}
-	if s.bytes+recordBytes > k.limit()/shards {
+	if s.bytes+recordOverhead > k.limit()/shardCount {
 		return nil, Full
 	}
 	if s.records == nil {
 		s.records = map[Key]*Record{}
 	}
-	r := &Record{print: p, ended: make(chan struct{})}
+	r := &Record{fingerprint: p, done: make(chan struct{})}
 	s.records[key] = r
 	s.bytes += r.size(key)
 	return r, Begun
 }
 
-// End says what became of the request of a key that Begin granted. answer is nil
-// when it is not to be kept.
-func (k *Keeper) End(key Key, r *Record, result exchanger.Result, answer *Answer) {
+// End records the outcome of a request whose key Begin claimed. response is nil if it must not
+// be kept.
+func (k *Keeper) End(key Key, r *Record, result exchanger.Result, response *Response) {
 	s := k.shard(key)
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -145,23 +145,23 @@
 	if result.Outcome == exchanger.NotRun {
 		delete(s.records, key)
 	} else {
-		if answer != nil && s.bytes+int64(len(answer.Body)) <= k.limit()/shards {
-			r.answer = answer
+		if response != nil && s.bytes+int64(len(response.Body)) <= k.limit()/shardCount {
+			r.response = response
 		}
 		r.expires = k.Clock.Now() + k.Kept()
 		s.bytes += r.size(key)
 	}
-	close(r.ended)
+	close(r.done)
 }
 
-// Look returns where a key stands, and its outcome once it has ended.
+// Look returns the state of a key, and its outcome once it has ended.
 func (k *Keeper) Look(key Key) (State, exchanger.Result) {
 	s := k.shard(key)
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	r := s.records[key]
 	switch {
-	case r == nil || r.over(k.Clock.Now()):
+	case r == nil || r.expired(k.Clock.Now()):
 		return Absent, exchanger.Result{}
 	case r.expires == 0:
 		return Running, exchanger.Result{}
@@ -169,38 +169,38 @@
 	return Ended, r.result
 }
 
-// Wait waits until the key has ended and returns its outcome and kept answer. It
-// reports false when ctx ends before.
-func (r *Record) Wait(ctx context.Context) (exchanger.Result, *Answer, bool) {
+// Wait blocks until the key has ended and returns its outcome and the kept response, if any.
+// It returns false if ctx is done first.
+func (r *Record) Wait(ctx context.Context) (exchanger.Result, *Response, bool) {
 	select {
-	case <-r.ended:
-		return r.result, r.answer, true
+	case <-r.done:
+		return r.result, r.response, true
 	case <-ctx.Done():
 		return exchanger.Result{}, nil, false
 	}
 }
 
-// over tells whether a record may be forgotten. One that runs never is.
-func (r *Record) over(now timekeeper.Millis) bool {
+// expired reports whether a record may be dropped. A running one never expires.
+func (r *Record) expired(now timekeeper.Millis) bool {
 	return r.expires != 0 && now >= r.expires
 }
 
 func (r *Record) size(key Key) int64 {
-	n := int64(recordBytes + len(key))
-	if r.answer != nil {
-		n += int64(len(r.answer.Body))
+	n := int64(recordOverhead + len(key))
+	if r.response != nil {
+		n += int64(len(r.response.Body))
 	}
 	return n
 }
 
-// sweep forgets what is over, now and then.
+// sweep drops expired records, at most once a second for each shard.
 func (k *Keeper) sweep(s *shard, now timekeeper.Millis) {
-	if now-s.swept < timekeeper.Second {
+	if now-s.sweptAt < timekeeper.Second {
 		return
 	}
-	s.swept = now
+	s.sweptAt = now
 	for key, r := range s.records {
-		if r.over(now) {
+		if r.expired(now) {
 			s.bytes -= r.size(key)
 			delete(s.records, key)
 		}
@@ -208,10 +208,10 @@
 }
 
 func (k *Keeper) shard(key Key) *shard {
-	return &k.parts[xxhash.Sum64String(string(key))%shards]
+	return &k.shards[xxhash.Sum64String(string(key))%shardCount]
 }
 
-// Kept returns how long keys are remembered.
+// Kept returns how long keys are remembered after they have ended.
 func (k *Keeper) Kept() timekeeper.Millis {
 	if k.Retention != nil {
 		return k.Retention()
@@ -226,39 +226,39 @@
 	return DefaultLimit
 }
 
-// Recorder keeps a copy of an answer on its way to the caller.
+// Recorder copies a response on its way to the caller.
 type Recorder struct {
-	answer Answer
-	long   bool
+	response Response
+	tooLong  bool
 }
 
-// Attach makes c copy its answer into rec.
+// Attach makes c copy its response into rec.
 func (rec *Recorder) Attach(c *exchanger.Call) {
 	start, write := c.Start, c.Write
 	c.Start = func(a exchanger.Answer) error {
-		rec.answer.Answer = a
-		rec.answer.Header = a.Header.Clone()
+		rec.response.Answer = a
+		rec.response.Header = a.Header.Clone()
 		return start(a)
 	}
 	c.Write = func(p []byte) error {
-		if len(rec.answer.Body)+len(p) > MaxAnswerBytes {
-			rec.long = true
-			rec.answer.Body = nil
+		if len(rec.response.Body)+len(p) > MaxResponseBytes {
+			rec.tooLong = true
+			rec.response.Body = nil
 		}
-		if !rec.long {
-			rec.answer.Body = append(rec.answer.Body, p...)
+		if !rec.tooLong {
+			rec.response.Body = append(rec.response.Body, p...)
 		}
 		return write(p)
 	}
 }
 
-// Answer returns the copy of a whole answer, nil when there is none to keep.
-func (rec *Recorder) Answer(r exchanger.Result) *Answer {
-	if r.Outcome != exchanger.Answered || !r.Whole || rec.long {
+// Answer returns the copy of a complete response, or nil if there is none to keep.
+func (rec *Recorder) Answer(r exchanger.Result) *Response {
+	if r.Outcome != exchanger.Answered || !r.Whole || rec.tooLong {
 		return nil
 	}
-	if rec.answer.Header == nil {
-		rec.answer.Header = http.Header{}
+	if rec.response.Header == nil {
+		rec.response.Header = http.Header{}
 	}
-	return &rec.answer
+	return &rec.response
 }
--- a/internal/request/keykeeper/keeper_test.go
+++ b/internal/request/keykeeper/keeper_test.go
@@ -21,7 +21,7 @@
 
 var answered = exchanger.Result{Outcome: exchanger.Answered, Whole: true}
 
-// TestOneBegins has many try to begin the same key at once.
+// TestOneBegins has many goroutines begin the same key at once.
 func TestOneBegins(t *testing.T) {
 	is := is.New(t)
 	k := newKeeper(new(atomic.Int64))
@@ -34,11 +34,11 @@
 			r, v := k.Begin("k", 1)
 			if v == keykeeper.Begun {
 				begun.Add(1)
-				k.End("k", r, answered, &keykeeper.Answer{Body: []byte("one")})
+				k.End("k", r, answered, &keykeeper.Response{Body: []byte("one")})
 				return
 			}
-			result, answer, ok := r.Wait(context.Background())
-			if ok && result.Outcome == exchanger.Answered && string(answer.Body) == "one" {
+			result, response, ok := r.Wait(context.Background())
+			if ok && result.Outcome == exchanger.Answered && string(response.Body) == "one" {
 				repeated.Add(1)
 			}
 		}()
@@ -74,8 +74,8 @@
 	is.Equal(state, keykeeper.Running) // a key that runs is never forgotten
 }
 
-// TestMemoryIsBounded fills the keeper. What is remembered is never dropped for
-// room: new keys are refused, and come in again when the old are over.
+// TestMemoryIsBounded fills the keeper. Remembered keys are never dropped for room: new keys
+// are refused, and accepted again once old ones expire.
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	var now atomic.Int64
@@ -90,7 +90,7 @@
 			full++
 			continue
 		}
-		k.End(key, r, answered, &keykeeper.Answer{Answer: exchanger.Answer{Header: http.Header{}}, Body: make([]byte, 1000)})
+		k.End(key, r, answered, &keykeeper.Response{Answer: exchanger.Answer{Header: http.Header{}}, Body: make([]byte, 1000)})
 	}
 	is.True(full > 2000 && full < 4900)
 	_, v := k.Begin("key0", 1)
