--- a/internal/request/assigner/assigner.go
+++ b/internal/request/assigner/assigner.go
@@ -76,8 +76,8 @@
 		// weight is the load of the key, in units that grow with time; see weightAt.
 		weight float64
 		usedAt timekeeper.Millis
-		// former lists the upstreams other than the home that ran the key recently.
-		former formerHomes
+		// formerHomes lists the upstreams other than the home that ran the key recently.
+		formerHomes formerHomes
 		// lastSeen is the latest home that a request of this daemon used, reported when the
 		// key moves.
 		lastSeen *cataloger.Upstream
@@ -208,7 +208,7 @@
 }
 
 func (a *Assigner) setHome(h *home, to hasher.Hash) {
-	h.former.record(h.upstream)
+	h.formerHomes.record(h.upstream)
 	a.loads[h.upstream] -= h.weight
 	a.loads[to] += h.weight
 	h.upstream = to
@@ -248,7 +248,7 @@
 	if a.Without.Has(switcher.HomeRegions) {
 		return placer.Candidates(nil, key, fit, func(string) bool { return true })
 	}
-	region := a.splitByRegion(r, fit).regionOf(key)
+	region := a.regionSplit(r, fit).regionOf(key)
 	return placer.Candidates(nil, key, fit, func(name string) bool { return name == region })
 }
 
--- a/internal/request/assigner/former.go
+++ b/internal/request/assigner/former.go
@@ -51,7 +51,7 @@
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	h := a.homes[key]
-	return h != nil && h.former.contains(u.Hash())
+	return h != nil && h.formerHomes.contains(u.Hash())
 }
 
 // Visit records that a key runs at an upstream that is not its home.
@@ -59,7 +59,7 @@
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	if h := a.homes[key]; h != nil && h.upstream != u.Hash() {
-		h.former.record(u.Hash())
+		h.formerHomes.record(u.Hash())
 	}
 }
 
@@ -69,7 +69,7 @@
 	if a.Without.Has(switcher.FormerHomes) {
 		return l
 	}
-	for _, f := range h.former {
+	for _, f := range h.formerHomes {
 		if f == 0 || f == h.upstream {
 			continue
 		}
--- a/internal/request/assigner/placement.go
+++ b/internal/request/assigner/placement.go
@@ -79,7 +79,7 @@
 
 // moveWithReason moves a key and returns the placement of the request that caused the move.
 func (a *Assigner) moveWithReason(why Reason, key hasher.Hash, h *home, to *cataloger.Upstream) Placement {
-	p := Placement{Upstream: to, Reason: why, Former: h.former.contains(to.Hash()), Left: h.lastSeenHome()}
+	p := Placement{Upstream: to, Reason: why, Former: h.formerHomes.contains(to.Hash()), Left: h.lastSeenHome()}
 	a.move(key, h, to)
 	return p
 }
--- a/internal/request/assigner/region.go
+++ b/internal/request/assigner/region.go
@@ -21,11 +21,11 @@
 	regionSplit []regionShare
 )
 
-// splitByRegion distributes the keys of a request's route among regions so that, if each
+// regionSplit distributes the keys of a request's route among regions so that, if each
 // region had the same demand, all of them would be loaded in proportion to their slots. As
 // many keys as possible stay in the region of their callers, those of the tightest routes
 // first. Actual demand differs and changes; keys that overload a region are moved one by one.
-func (a *Assigner) splitByRegion(r Request, all []*cataloger.Upstream) regionSplit {
+func (a *Assigner) regionSplit(r Request, all []*cataloger.Upstream) regionSplit {
 	slots, total := map[string]float64{}, 0.0
 	for _, u := range all {
 		slots[u.Site.Region()] += float64(max(u.Slots, 1))
--- a/internal/request/limiter/allocator.go
+++ b/internal/request/limiter/allocator.go
@@ -39,9 +39,9 @@
 	// account is the allocator's state of one organisation in its region.
 	account struct {
 		bucket    bucket
-		demand    demandRate
+		demand    demand
 		pending   []acquisition
-		borrowing borrowRound
+		borrowing borrowing
 		// lastRetryAt is the latest retry time given to a refused request.
 		lastRetryAt float64
 		// borrowBlockedUntil is the time until which the other regions are not asked.
@@ -52,18 +52,18 @@
 	// acquisition is a request for tokens, of another daemon or (with a ticket) of a local
 	// request.
 	acquisition struct {
-		from       string
-		ticket     *Ticket
-		number     uint32
-		wanted     int
-		needed     int
-		receivedAt timekeeper.Millis
-	}
-
-	// borrowRound is a request for tokens to all other regions.
-	borrowRound struct {
-		number    uint32
-		startedAt timekeeper.Millis
+		from        string
+		ticket      *Ticket
+		number      uint32
+		wanted      int
+		needed      int
+		requestedAt timekeeper.Millis
+	}
+
+	// borrowing is a request for tokens that was sent to all other regions.
+	borrowing struct {
+		number      uint32
+		requestedAt timekeeper.Millis
 		// asked is the number of regions asked, received the number of responses, and empty
 		// the number of responses without tokens.
 		asked    int
@@ -86,8 +86,8 @@
 func (c *Core) account(o *authenticator.Organisation, now timekeeper.Millis) *account {
 	a := c.accounts[o.Hash()]
 	if a == nil {
-		first := c.view.regionShare() * c.Tolerance.initialTokens(o.Limit)
-		a = &account{bucket: bucket{refilledAt: c.allocatorSince, level: first}}
+		initialTokens := c.view.regionShare() * c.Tolerance.initialTokens(o.Limit)
+		a = &account{bucket: bucket{updatedAt: c.allocatorSince, level: initialTokens}}
 		if c.view.Sole {
 			a.bucket.level = c.Tolerance.capacity(o.Limit)
 		}
@@ -102,7 +102,7 @@
 func (c *Core) handleAcquire(now timekeeper.Millis, o *authenticator.Organisation, d acquisition) {
 	a := c.account(o, now)
 	a.demand.record(now, d.needed)
-	d.receivedAt = now
+	d.requestedAt = now
 	a.pending = append(a.pending, d)
 	c.serve(now, o, a)
 	if c.shouldBorrow(now, a) {
@@ -179,7 +179,7 @@
 	if len(c.view.Others) == 0 || a.borrowing.open(now) || now < a.borrowBlockedUntil {
 		return false
 	}
-	return len(a.pending) > 0 || now-a.borrowing.startedAt >= borrowInterval && a.bucket.level < a.demand.rate(now)*seconds(refillThreshold)
+	return len(a.pending) > 0 || now-a.borrowing.requestedAt >= borrowInterval && a.bucket.level < a.demand.rate(now)*seconds(refillThreshold)
 }
 
 // borrow asks the other regions for the missing tokens.
@@ -193,11 +193,11 @@
 	if missing <= 0 {
 		return
 	}
-	c.lastNumber++
-	a.borrowing = borrowRound{number: c.lastNumber, startedAt: now, asked: len(c.view.Others)}
+	c.number++
+	a.borrowing = borrowing{number: c.number, requestedAt: now, asked: len(c.view.Others)}
 	for _, to := range c.view.Others {
 		c.send(to, Message{
-			Kind: Borrow, Organisation: o.Hash(), Number: c.lastNumber,
+			Kind: Borrow, Organisation: o.Hash(), Number: c.number,
 			Tokens: uint32(math.Ceil(missing / others)), Need: uint32(math.Ceil(max(needed, 0) / others)),
 		})
 	}
@@ -247,6 +247,6 @@
 }
 
 // open reports whether responses of other regions are still expected.
-func (l *borrowRound) open(now timekeeper.Millis) bool {
-	return l.received < l.asked && now-l.startedAt < borrowTimeout
+func (l *borrowing) open(now timekeeper.Millis) bool {
+	return l.received < l.asked && now-l.requestedAt < borrowTimeout
 }
--- a/internal/request/limiter/bucket.go
+++ b/internal/request/limiter/bucket.go
@@ -28,9 +28,9 @@
 
 	// bucket is a region's token bucket of one organisation.
 	bucket struct {
-		level      float64
-		refilledAt timekeeper.Millis
-		issued     issueHistory
+		level     float64
+		updatedAt timekeeper.Millis
+		issued    issueHistory
 		// borrowedUntil is the time until which the level may exceed the capacity.
 		borrowedUntil timekeeper.Millis
 	}
@@ -43,8 +43,8 @@
 		tokens float64
 	}
 
-	// demandRate is an exponentially decaying rate of requests.
-	demandRate struct {
+	// demand is an exponentially decaying rate of requests.
+	demand struct {
 		level     float64
 		updatedAt timekeeper.Millis
 	}
@@ -53,9 +53,9 @@
 // refill adds the tokens accrued since the last call. Tokens that were issued in advance and
 // may still be used count as if they were in the bucket.
 func (b *bucket) refill(now timekeeper.Millis, t bucketParams) {
-	grown := b.level + t.rate*seconds(max(now-b.refilledAt, 0))
-	b.refilledAt = now
-	room := max(max(t.capacity, minCapacity)-b.issued.sum(now, t.lifetime), 0)
+	grown := b.level + t.rate*seconds(max(now-b.updatedAt, 0))
+	b.updatedAt = now
+	room := max(max(t.capacity, minCapacity)-b.issued.within(now, t.lifetime), 0)
 	switch {
 	case grown <= room:
 		b.level = grown
@@ -98,8 +98,8 @@
 	p.tokens += float64(n)
 }
 
-// sum returns the tokens issued within the lifetime. All but the current span are complete.
-func (s *issueHistory) sum(now, lifetime timekeeper.Millis) float64 {
+// within returns the tokens issued within the lifetime. All but the current span are complete.
+func (s *issueHistory) within(now, lifetime timekeeper.Millis) float64 {
 	sum, number := 0.0, spanNumber(now, lifetime)
 	for _, p := range s {
 		if p.number > number-issueSpans {
@@ -114,12 +114,12 @@
 }
 
 // record counts n requests.
-func (d *demandRate) record(now timekeeper.Millis, n int) {
+func (d *demand) record(now timekeeper.Millis, n int) {
 	d.level = d.rate(now) + float64(n)
 	d.updatedAt = now
 }
 
 // rate returns the requests per second.
-func (d *demandRate) rate(now timekeeper.Millis) float64 {
+func (d *demand) rate(now timekeeper.Millis) float64 {
 	return d.level * math.Exp(-seconds(max(now-d.updatedAt, 0))/seconds(demandDecayTime))
 }
--- a/internal/request/limiter/cache.go
+++ b/internal/request/limiter/cache.go
@@ -30,7 +30,7 @@
 
 // tokenCache holds a daemon's tokens of one organisation.
 type tokenCache struct {
-	demand    demandRate
+	demand    demand
 	tokens    int
 	expiresAt timekeeper.Millis
 	waiting   []*Ticket
@@ -46,15 +46,15 @@
 	lastRetryAt timekeeper.Millis
 	gap         timekeeper.Millis
 
-	// ownBucket is used while no allocator is heard, and ownShareFrom is when the daemon may
+	// ownShare is the bucket used while no allocator is heard, and ownShareFrom is when the daemon may
 	// begin to use its own share.
-	ownBucket    bucket
+	ownShare     bucket
 	ownShareFrom timekeeper.Millis
 	usedAt       timekeeper.Millis
 }
 
-// cache returns this daemon's tokens of an organisation, without expired ones.
-func (c *Core) cache(o *authenticator.Organisation, now timekeeper.Millis) *tokenCache {
+// tokenCache returns this daemon's tokens of an organisation, without expired ones.
+func (c *Core) tokenCache(o *authenticator.Organisation, now timekeeper.Millis) *tokenCache {
 	if c.caches == nil {
 		c.caches = map[hasher.Hash]*tokenCache{}
 	}
@@ -72,7 +72,7 @@
 
 // takeCached decides a request with the cached tokens, or lets it wait for a response.
 func (c *Core) takeCached(now timekeeper.Millis, o *authenticator.Organisation, t *Ticket) {
-	s := c.cache(o, now)
+	s := c.tokenCache(o, now)
 	s.demand.record(now, 1)
 	switch {
 	case s.tokens > 0:
@@ -103,8 +103,8 @@
 	if now-c.skippedAt >= regionalRetryInterval {
 		c.current = 0
 	}
-	c.lastNumber++
-	s.number, s.requestedAt = c.lastNumber, now
+	c.number++
+	s.number, s.requestedAt = c.number, now
 	need := len(s.waiting)
 	c.send(c.allocators[c.current%len(c.allocators)], Message{
 		Kind: Acquire, Organisation: o.Hash(), Number: s.number,
@@ -119,13 +119,13 @@
 	if o == nil {
 		return
 	}
-	s := c.cache(o, now)
+	s := c.tokenCache(o, now)
 	if s.requestedAt == 0 || s.number != m.Number || now-s.requestedAt >= AllocatorTimeout {
 		return
 	}
 	c.unanswered = 0
-	if until := s.requestedAt + c.Tolerance.lifetime(o.Limit); s.tokens == 0 || until < s.expiresAt {
-		s.expiresAt = until
+	if expiresAt := s.requestedAt + c.Tolerance.lifetime(o.Limit); s.tokens == 0 || expiresAt < s.expiresAt {
+		s.expiresAt = expiresAt
 	}
 	s.tokens += int(m.Tokens)
 	s.requestedAt = 0
@@ -171,10 +171,10 @@
 	}
 	c.ownShareUsedAt = now
 	if s.ownShareFrom != c.ownShareFrom {
-		s.ownBucket, s.ownShareFrom = bucket{refilledAt: c.ownShareFrom}, c.ownShareFrom
+		s.ownShare, s.ownShareFrom = bucket{updatedAt: c.ownShareFrom}, c.ownShareFrom
 	}
-	s.ownBucket.refill(now, t)
-	if s.ownBucket.issue(now, 1, 1, t) == 0 {
+	s.ownShare.refill(now, t)
+	if s.ownShare.issue(now, 1, 1, t) == 0 {
 		return Verdict{Outcome: Unknown, After: unknownRetryAfter}
 	}
 	return Verdict{Outcome: Admitted}
--- a/internal/request/limiter/core.go
+++ b/internal/request/limiter/core.go
@@ -43,7 +43,7 @@
 	ownShareUsedAt timekeeper.Millis
 	accounts       map[hasher.Hash]*account
 	caches         map[hasher.Hash]*tokenCache
-	lastNumber     uint32
+	number         uint32
 	out            []Envelope
 }
 
@@ -75,9 +75,9 @@
 	case c.isAllocator():
 		c.handleAcquire(now, o, acquisition{ticket: t, wanted: 1, needed: 1})
 	case c.view.Alone || len(c.allocators) == 0:
-		t.Verdict = c.takeOwnShare(now, o, c.cache(o, now))
+		t.Verdict = c.takeOwnShare(now, o, c.tokenCache(o, now))
 	case c.unanswered >= len(c.allocators):
-		s := c.cache(o, now)
+		s := c.tokenCache(o, now)
 		t.Verdict = c.takeOwnShare(now, o, s)
 		c.nextAllocator(now, s)
 		c.requestTokens(now, o, s)
@@ -96,7 +96,7 @@
 		c.account(o, now).bucket.level++
 		return nil
 	}
-	s := c.cache(o, now)
+	s := c.tokenCache(o, now)
 	if s.tokens == 0 {
 		s.expiresAt = now + minLifetime
 	}
@@ -111,7 +111,7 @@
 	if t.Verdict.Outcome != Waiting {
 		return nil
 	}
-	s := c.cache(o, now)
+	s := c.tokenCache(o, now)
 	c.nextAllocator(now, s)
 	if !c.isAllocator() && !c.view.Alone && c.unanswered < len(c.allocators) && t.timeouts < len(c.allocators) {
 		t.timeouts++
--- a/internal/request/limiter/fleet_test.go
+++ b/internal/request/limiter/fleet_test.go
@@ -49,7 +49,7 @@
 		daemons       []daemon
 		organisations []*authenticator.Organisation
 		strategy      strategy
-		counts        []counts
+		counts        []outcomes
 		// messages and bytes count what daemons sent.
 		messages int
 		bytes    int
@@ -78,15 +78,15 @@
 		since          timekeeper.Millis
 	}
 
-	// counts holds the outcomes of the requests of one organisation.
-	counts struct {
+	// outcomes holds the outcomes of the requests of one organisation.
+	outcomes struct {
 		asked, admitted, refusedBelow []timekeeper.Millis
 		// ideal is a single bucket that all daemons share without any delay.
 		ideal tokenBucket
-		// maxExcess is the maximum number of requests admitted beyond the rate and the burst
+		// peakExcess is the maximum number of requests admitted beyond the rate and the burst
 		// in a window.
-		maxExcess   float64
-		maxExcessAt timekeeper.Millis
+		peakExcess   float64
+		peakExcessAt timekeeper.Millis
 	}
 
 	event struct {
@@ -115,10 +115,10 @@
 }
 
 // newFleet returns n daemons in three regions.
-func newFleet(n int, seed uint64, all ...*authenticator.Organisation) *fleet {
-	f := &fleet{regions: 3, tolerance: tolerance, daemons: make([]daemon, n), random: rand.New(rand.NewPCG(seed, 1)), organisations: all, counts: make([]counts, len(all))}
+func newFleet(n int, seed uint64, organisations ...*authenticator.Organisation) *fleet {
+	f := &fleet{regions: 3, tolerance: tolerance, daemons: make([]daemon, n), random: rand.New(rand.NewPCG(seed, 1)), organisations: organisations, counts: make([]outcomes, len(organisations))}
 	for o := range f.counts {
-		f.counts[o].maxExcess = math.Inf(-1)
+		f.counts[o].peakExcess = math.Inf(-1)
 	}
 	return f
 }
@@ -303,11 +303,11 @@
 
 // admit records an admitted request, and the excess over the limit in the window that ends
 // with it.
-func (c *counts) admit(now timekeeper.Millis, l authenticator.Limit, window timekeeper.Millis) {
+func (c *outcomes) admit(now timekeeper.Millis, l authenticator.Limit, window timekeeper.Millis) {
 	c.admitted = append(c.admitted, now)
 	over := float64(countWithin(c.admitted, now, window)) - (l.PerSecond*float64(window)/float64(second) + l.Burst)
-	if over > c.maxExcess {
-		c.maxExcess, c.maxExcessAt = over, now
+	if over > c.peakExcess {
+		c.peakExcess, c.peakExcessAt = over, now
 	}
 }
 
@@ -317,11 +317,11 @@
 	return len(times) - i
 }
 
-// excess returns by how many requests the worst window of an organisation exceeded its limit
+// maxExcess returns by how many requests the worst window of an organisation exceeded its limit
 // and tolerance.
-func (f *fleet) excess(o int) float64 {
+func (f *fleet) maxExcess(o int) float64 {
 	l, t := f.organisations[o].Limit, f.tolerance
-	return f.counts[o].maxExcess - (t.Over*(l.PerSecond*float64(t.Window)/float64(second)+l.Burst) + t.Slack)
+	return f.counts[o].peakExcess - (t.Over*(l.PerSecond*float64(t.Window)/float64(second)+l.Burst) + t.Slack)
 }
 
 // generate has requests of an organisation arrive at random daemons, at a rate, until a time.
--- a/internal/request/limiter/limits_test.go
+++ b/internal/request/limiter/limits_test.go
@@ -26,7 +26,7 @@
 	for o := range f.organisations {
 		g.asked += len(f.counts[o].asked)
 		g.refusedBelow += len(f.counts[o].refusedBelow)
-		g.maxExcess = max(g.maxExcess, f.excess(o))
+		g.maxExcess = max(g.maxExcess, f.maxExcess(o))
 	}
 	per := float64(len(f.daemons)) * float64(length) / float64(second)
 	g.messages, g.bytes = float64(f.messages)/per, float64(f.bytes)/per
@@ -158,7 +158,7 @@
 		f.generate(o, 20, 28*second, nil)
 	}
 	f.run(29 * second)
-	is.True(f.excess(0) <= 0 && f.excess(1) <= 0)
+	is.True(f.maxExcess(0) <= 0 && f.maxExcess(1) <= 0)
 	is.True(len(f.counts[0].admitted) >= 15) // of 20 in 20 s
 	is.Equal(len(f.counts[2].admitted), len(f.counts[2].asked))
 }
--- a/internal/request/limiter/model_test.go
+++ b/internal/request/limiter/model_test.go
@@ -60,7 +60,7 @@
 	for _, i := range order {
 		steps[i].do(f)
 	}
-	return f.excess(0)
+	return f.maxExcess(0)
 }
 
 func stepNames(order []int) (names []string) {
