--- a/internal/request/assigner/assigner_test.go
+++ b/internal/request/assigner/assigner_test.go
@@ -286,7 +286,7 @@
 			others = append(others, u)
 		}
 	}
-	a.Visit(key(1), h) // its home is none
+	a.Visit(key(1), h) // the home itself is not recorded
 	is.Equal(len(a.Former(nil, key(1), f.all, anyRegion)), 0)
 	for _, u := range others[:4] {
 		a.Visit(key(1), u)
--- a/internal/request/limiter/tolerance.go
+++ b/internal/request/limiter/tolerance.go
@@ -25,8 +25,8 @@
 	maxLifetime = 500 * timekeeper.Millis(1)
 )
 
-// Tolerance is how far an organisation may exceed its limit within a window: by Over times
-// what the limit allows in it, plus Slack requests.
+// Tolerance is how far an organisation may exceed its limit within a window: by a multiple of
+// what the limit allows in it, plus a number of requests.
 type Tolerance struct {
 	Window timekeeper.Millis
 	Over   float64
