--- a/internal/request/limiter/cache.go
+++ b/internal/request/limiter/cache.go
@@ -46,8 +46,8 @@
 	lastRetryAt timekeeper.Millis
 	gap         timekeeper.Millis
 
-	// ownShare is the bucket used while no allocator is heard, and ownShareFrom is when the daemon may
-	// begin to use its own share.
+	// ownShare is the bucket used while no allocator is heard, and ownShareFrom is when the
+	// daemon may begin to use its own share.
 	ownShare     bucket
 	ownShareFrom timekeeper.Millis
 	usedAt       timekeeper.Millis
--- a/internal/request/limiter/fleet_test.go
+++ b/internal/request/limiter/fleet_test.go
@@ -201,8 +201,8 @@
 func (f *fleet) unreachable(d int) bool { return f.daemons[d].dead || f.daemons[d].isolated }
 
 // believedAlive reports whether other daemons still regard d as alive, given their timeout.
-func (f *fleet) believedAlive(d int, patience timekeeper.Millis) bool {
-	return !f.unreachable(d) || f.now-f.daemons[d].since < patience
+func (f *fleet) believedAlive(d int, timeout timekeeper.Millis) bool {
+	return !f.unreachable(d) || f.now-f.daemons[d].since < timeout
 }
 
 // leader returns the leader of a region in the view of reachable daemons, -1 for none.
@@ -217,8 +217,8 @@
 
 // refreshView updates the view, as heartbeats do.
 func (f *fleet) refreshView() {
-	const viewEvery = 100 * timekeeper.Millis(1)
-	if f.view.near != nil && f.now-f.view.at < viewEvery {
+	const viewInterval = 100 * timekeeper.Millis(1)
+	if f.view.near != nil && f.now-f.view.at < viewInterval {
 		return
 	}
 	f.view = fleetView{at: f.now, near: make([]int, f.regions), leaders: make([]int, f.regions)}
@@ -233,16 +233,16 @@
 	}
 }
 
-// census returns a daemon's view of the fleet.
-func (f *fleet) census(d int) limiter.Census {
+// viewOf returns a daemon's view of the fleet.
+func (f *fleet) viewOf(d int) limiter.Census {
 	f.refreshView()
 	c := limiter.Census{Known: len(f.daemons), Near: max(f.view.near[f.region(d)], 1)}
 	leader := f.view.leaders[f.region(d)]
 	c.Alone = f.view.heard <= 1 && len(f.daemons) > 1
 	if f.daemons[d].isolated {
-		cutFor := f.now - f.daemons[d].since
-		c.Alone = cutFor >= livenessTimeout
-		if cutFor >= leaderTimeout {
+		isolatedFor := f.now - f.daemons[d].since
+		c.Alone = isolatedFor >= livenessTimeout
+		if isolatedFor >= leaderTimeout {
 			leader = d
 		}
 	}
@@ -258,14 +258,14 @@
 	return c
 }
 
-// kill terminates a daemon, cutOff isolates one, and restore brings either back.
+// kill terminates a daemon, isolate isolates one, and restore brings either back.
 func (f *fleet) kill(d int) {
 	if !f.daemons[d].dead {
 		f.daemons[d] = daemon{dead: true, since: f.now}
 	}
 }
 
-func (f *fleet) cutOff(d int) {
+func (f *fleet) isolate(d int) {
 	if !f.unreachable(d) {
 		f.daemons[d].isolated, f.daemons[d].since = true, f.now
 	}
--- a/internal/request/limiter/limits_test.go
+++ b/internal/request/limiter/limits_test.go
@@ -47,7 +47,7 @@
 	}
 	f.after(2*second, func() { f.generate(1, demands[1]/2, f.now+6*second, func(d int) bool { return f.region(d) == 0 }) })
 	if faults {
-		f.after(10*second, func() { f.disturb(0.3, f.cutOff, 5*second) })
+		f.after(10*second, func() { f.disturb(0.3, f.isolate, 5*second) })
 		f.after(20*second, func() { f.disturb(0.5, f.kill, 2*second) })
 		f.after(26*second, func() { f.kill(0) })
 		f.after(27*second, func() { f.restore(0) })
--- a/internal/request/limiter/strategies_test.go
+++ b/internal/request/limiter/strategies_test.go
@@ -89,7 +89,7 @@
 
 func (w *allocatorStrategy) observe(d int) *limiter.Core {
 	c := w.cores[d]
-	c.Observe(w.f.now, w.f.census(d))
+	c.Observe(w.f.now, w.f.viewOf(d))
 	return c
 }
 
--- a/internal/request/placer/place.go
+++ b/internal/request/placer/place.go
@@ -71,7 +71,7 @@
 		// Down reports that the upstream was recently unreachable.
 		Down bool
 		// Failing reports that the upstream fails or refuses too many requests and is not due
-		// for a probe request.
+		// for another attempt.
 		Failing bool
 		// FailShare is the moving average of the share of requests that it failed or refused.
 		FailShare float64
