--- a/internal/request/assigner/assigner.go
+++ b/internal/request/assigner/assigner.go
@@ -85,7 +85,8 @@
 )
 
 // Home returns the home of a key. A key without one, or whose home is gone or not allowed, is
-// assigned a new home.
+// assigned a new home, and a key may move from a crowded home. The Placement is zero if no
+// upstream takes the request.
 func (a *Assigner) Home(key hasher.Hash, r Request, all []*cataloger.Upstream) Placement {
 	now := a.Clock.Now()
 	a.lock.Lock()
