--- a/internal/request/looker/looker.go
+++ b/internal/request/looker/looker.go
@@ -73,7 +73,7 @@
 	}
 	a, err := netip.ParseAddr(text)
 	if err != nil {
-		return a, fmt.Errorf("%q is neither an IP address nor a block", text)
+		return a, fmt.Errorf("%q is neither an IP number nor a block", text)
 	}
 	return a, nil
 }
