--- a/internal/process/leader/damper.go
+++ b/internal/process/leader/damper.go
@@ -5,59 +5,59 @@
 )
 
 const (
-	// freeLosses is how many losses of one address within flapMemory cost
-	// nothing: a VM that is replaced must be taken in at once.
-	freeLosses = 2
+	// toleratedLosses is the number of losses of one address within flapWindow that
+	// are not penalised, so that a replaced VM is admitted at once.
+	toleratedLosses = 2
 
-	flapMemory   = timekeeper.Minute
-	firstHoldOff = 2 * timekeeper.Second
-	lastHoldOff  = 30 * timekeeper.Second
+	flapWindow = timekeeper.Minute
+	minHoldOff = 2 * timekeeper.Second
+	maxHoldOff = 30 * timekeeper.Second
 )
 
 type (
-	// Damper keeps members that come and go from being written to the roster
-	// each time. It goes by address, since a process that fails again and again
-	// is another incarnation each time. The zero value is ready.
+	// Damper suppresses flapping members so that the roster is not rewritten on
+	// each loss and return. It is keyed by address, because a process that crashes
+	// repeatedly has a new incarnation each time. The zero value is ready to use.
 	Damper struct {
-		losses map[string]*losses
+		records map[string]*lossRecord
 	}
 
-	losses struct {
+	lossRecord struct {
 		count int
 		last  timekeeper.Millis
 		until timekeeper.Millis
 	}
 )
 
-// Lost notes that the member at an address was lost.
-func (d *Damper) Lost(address string, now timekeeper.Millis) {
-	if d.losses == nil {
-		d.losses = map[string]*losses{}
+// RecordLoss records the loss of the member at an address and updates its hold-off.
+func (d *Damper) RecordLoss(address string, now timekeeper.Millis) {
+	if d.records == nil {
+		d.records = map[string]*lossRecord{}
 	}
-	l := d.losses[address]
-	if l == nil || now-l.last > flapMemory {
-		l = &losses{}
-		d.losses[address] = l
+	l := d.records[address]
+	if l == nil || now-l.last > flapWindow {
+		l = &lossRecord{}
+		d.records[address] = l
 	}
 	l.count++
 	l.last = now
-	if l.count > freeLosses {
-		hold := firstHoldOff << min(l.count-freeLosses-1, 8)
-		l.until = now + min(hold, lastHoldOff)
+	if l.count > toleratedLosses {
+		hold := minHoldOff << min(l.count-toleratedLosses-1, 8)
+		l.until = now + min(hold, maxHoldOff)
 	}
 }
 
-// Holds tells whether a member at an address must wait.
-func (d *Damper) Holds(address string, now timekeeper.Millis) bool {
-	l := d.losses[address]
+// Suppresses reports whether a member at an address must not be admitted yet.
+func (d *Damper) Suppresses(address string, now timekeeper.Millis) bool {
+	l := d.records[address]
 	return l != nil && now < l.until
 }
 
-// Forget drops what is too old to matter.
-func (d *Damper) Forget(now timekeeper.Millis) {
-	for a, l := range d.losses {
-		if now-l.last > flapMemory {
-			delete(d.losses, a)
+// Prune removes addresses without a loss in the last flapWindow.
+func (d *Damper) Prune(now timekeeper.Millis) {
+	for a, l := range d.records {
+		if now-l.last > flapWindow {
+			delete(d.records, a)
 		}
 	}
 }
--- a/internal/process/leader/doc.go
+++ b/internal/process/leader/doc.go
@@ -1,8 +1,8 @@
-// Package leader does the duties of a region's lead: it keeps the roster, holds
-// the region's one watch on the platform and passes changes on to the members,
-// writes the region's summary, and, if it gets that lease too, plans for the
-// whole fleet.
+// Package leader implements the leader of a region. The leader maintains the
+// roster, holds the region's only watch on the platform and relays changes to the
+// members, and writes the region's summary. If it also acquires the planner lease,
+// it plans for the whole fleet.
 //
-// All of it can be lost at any moment. Whoever takes the lead next starts from
-// the objects of the platform and from the heartbeats that reach it.
+// A leader keeps no durable state of its own: its successor starts from the objects
+// in the platform and from the heartbeats it receives.
 package leader
--- a/internal/process/leader/leader.go
+++ b/internal/process/leader/leader.go
@@ -22,30 +22,30 @@
 )
 
 const (
-	// PlannerLease is the name of the lease of the one planner.
+	// PlannerLease is the name of the lease held by the fleet's only planner.
 	PlannerLease = "Lease/Planner"
 
-	watchWait = 20 * timekeeper.Second
-	tick      = 250 * time.Millisecond
+	watchTimeout = 20 * timekeeper.Second
+	dutyInterval = 250 * time.Millisecond
 
-	// gather is how long news is gathered before it is written, so that the
-	// heartbeats of a whole region make a few writes.
-	gather = 20 * time.Millisecond
+	// batchDelay is how long changes are batched before they are written, so that the
+	// heartbeats of a whole region cause only a few writes.
+	batchDelay = 20 * time.Millisecond
 
-	// resendAfter is when objects are sent again to a member that does not
-	// show them in its heartbeats.
+	// resendAfter is the time after which objects are resent to a member whose
+	// heartbeats do not confirm them.
 	resendAfter = 3 * timekeeper.Second
 
-	firstPause = 200 * time.Millisecond
-	lastPause  = 5 * time.Second
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
 )
 
-// Prefixes are the objects that leads watch and pass on.
+// Prefixes are the name prefixes of the objects that leaders watch and relay.
 var Prefixes = []string{"Settings/", "Plan/", registrar.Prefix, lister.Prefix}
 
 type (
-	// Leader does the duties of a lead while it holds the lease. Set the
-	// exported fields before use.
+	// Leader runs the duties of a region's leader while it holds the lease. The
+	// exported fields must be set before use.
 	Leader struct {
 		Clock   timekeeper.Clock
 		Log     *logrus.Entry
@@ -54,39 +54,42 @@
 		Lease   *leaser.Lease
 		Links   *linker.Manager
 		Replica *replicator.Replica
-		// Settings returns the settings in force here.
+		// Settings returns the settings in force in this process and their number.
 		Settings func() (*resolver.Resolved, recorder.Number)
 
 		numberings numberings
 		members    *members
 		wake       chan struct{}
-		// planner is the lease of the planner, nil before the first lead.
-		planner atomic.Pointer[leaser.Lease]
-
-		lock    sync.Mutex
-		cancel  context.CancelFunc
-		cursors map[*linker.Session]*cursor
-		roster  registrar.Roster
-		rosters storer.Revision
-		sealed  bool
+		// plannerLease is the planner lease, nil until this process first leads.
+		plannerLease atomic.Pointer[leaser.Lease]
+
+		lock           sync.Mutex
+		cancel         context.CancelFunc
+		cursors        map[*linker.Session]*cursor
+		roster         registrar.Roster
+		rosterRevision storer.Revision
+		// sealed reports whether the roster was written under the current fence.
+		sealed bool
 	}
 
-	// cursor is up to where a member was sent the relayed objects.
+	// cursor is the revision up to which relayed objects were sent to a member, and
+	// when they were last sent.
 	cursor struct {
-		lock sync.Mutex
-		sent storer.Revision
-		at   timekeeper.Millis
+		lock   sync.Mutex
+		sent   storer.Revision
+		sentAt timekeeper.Millis
 	}
 )
 
-// Start prepares l. It must be called before anything else.
+// Start initialises l. It must be called before any other method.
 func (l *Leader) Start() {
 	l.members = newMembers()
 	l.wake = make(chan struct{}, 1)
 	l.cursors = map[*linker.Session]*cursor{}
 }
 
-// Lead begins or ends the duties.
+// Lead starts the leader's duties when the lease is acquired and stops them when it
+// is lost.
 func (l *Leader) Lead(ctx context.Context, fence leaser.Fence, held bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -106,9 +109,10 @@
 	go l.runPlanner(ctx)
 }
 
-// Leading tells whether this daemon acts as lead: it holds the lease, or held it
-// last and the platform, through which another could take it, is not reached.
-func (l *Leader) Leading() bool {
+// IsLeader reports whether this daemon acts as leader: it holds the lease, or it was
+// the last holder and the platform, through which another daemon would acquire the
+// lease, is unreachable.
+func (l *Leader) IsLeader() bool {
 	if _, ok := l.Lease.Held(); ok {
 		return true
 	}
@@ -116,9 +120,10 @@
 	return r.Holder == l.Lease.Holder && !r.Released && !l.Lease.Reachable()
 }
 
-// Hear takes a heartbeat and returns the answer. s is nil for the lead's own.
+// Hear processes a heartbeat and returns its acknowledgement. s is nil for the
+// leader's own heartbeat.
 func (l *Leader) Hear(from registrar.Member, s *linker.Session, h *framer.Heartbeat) *framer.Ack {
-	leading := l.Leading()
+	leading := l.IsLeader()
 	fence, _ := l.Lease.Held()
 	a := &framer.Ack{
 		Sequence:     h.Sequence,
@@ -126,15 +131,15 @@
 		Fence:        uint64(fence),
 		PlatformDown: !l.Lease.Reachable(),
 		Lease:        uint64(l.Lease.Revision()),
-		BeatMillis:   uint32(l.members.beat()),
+		BeatMillis:   uint32(l.members.heartbeatInterval()),
 	}
 	if !leading {
 		return a
 	}
 	settings, number := l.Settings()
-	l.numberings.note(number, settings)
-	if l.members.hear(from, h, l.numberings.read(h), l.Clock.Now(), l.Clock.WallNow()) {
-		l.poke()
+	l.numberings.add(number, settings)
+	if l.members.recordHeartbeat(from, h, l.numberings.decodeLoads(h), l.Clock.Now(), l.Clock.WallNow()) {
+		l.wakeDuties()
 	}
 	a.Known = l.onRoster(from.Incarnation)
 	if s != nil {
@@ -147,36 +152,39 @@
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	_, ok := l.roster.Find(i)
-	return ok && l.members.known(i)
+	return ok && l.members.contains(i)
 }
 
-// Gone is told of a link that ended.
+// Gone is called when a link is closed. It probes whether the member at the other
+// end has terminated.
 func (l *Leader) Gone(ctx context.Context, s *linker.Session) {
 	l.lock.Lock()
 	_, ours := l.cursors[s]
 	delete(l.cursors, s)
 	l.lock.Unlock()
-	if ours && l.Leading() {
-		// The member may not be able to dial back: it can beat over this link too.
+	if ours && l.IsLeader() {
+		// The member may be unable to dial this daemon. It can send heartbeats over
+		// a link dialled from here.
 		l.Links.Peer(ctx, s.Remote())
 		go l.runProbe(ctx, s.Remote(), l.Clock.Now())
 	}
 }
 
-func (l *Leader) poke() {
+// wakeDuties wakes runDuties.
+func (l *Leader) wakeDuties() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// runWatch holds the region's one watch.
+// runWatch holds the region's watch on the store and relays what it returns.
 func (l *Leader) runWatch(ctx context.Context) {
-	pause := firstPause
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		b, err := l.Store.Watch(ctx, Prefixes, l.Replica.Revision(), watchWait)
+		b, err := l.Store.Watch(ctx, Prefixes, l.Replica.Revision(), watchTimeout)
 		if err == nil {
-			pause = firstPause
+			backoff = minBackoff
 			if len(l.Replica.Put(b)) > 0 {
 				l.Relay()
 			}
@@ -184,30 +192,31 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-time.After(backoff/2 + rand.N(backoff)):
 		}
-		pause = min(pause*2, lastPause)
+		backoff = min(backoff*2, maxBackoff)
 	}
 }
 
-// runDuties keeps the roster and the summary.
+// runDuties keeps the roster and the summary up to date.
 func (l *Leader) runDuties(ctx context.Context, fence leaser.Fence) {
-	t := time.NewTicker(tick)
+	t := time.NewTicker(dutyInterval)
 	defer t.Stop()
 	last := summaryState{}
 	for {
-		l.dutyRoster(ctx, fence)
-		l.dutySummary(ctx, fence, &last)
+		l.updateRoster(ctx, fence)
+		l.updateSummary(ctx, fence, &last)
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		case <-l.wake:
-			time.Sleep(gather)
+			time.Sleep(batchDelay)
 		}
 	}
 }
 
+// put creates an object, or updates it if it exists at revision at.
 func (l *Leader) put(ctx context.Context, name string, body []byte, at storer.Revision) (storer.Revision, error) {
 	if at == 0 {
 		return l.Store.Create(ctx, name, body)
--- a/internal/process/leader/members.go
+++ b/internal/process/leader/members.go
@@ -19,52 +19,52 @@
 )
 
 const (
-	// Silence is how long a member may be silent before it is taken off the
-	// roster. It is longer than joiner.Validity, so by then the member has
-	// stopped by its own clock.
+	// Silence is the time without a heartbeat after which a member is removed from
+	// the roster. It is longer than joiner.Validity, so by then the member has
+	// already stopped acting as one by its own clock.
 	Silence = 9 * timekeeper.Second
 
-	// beatsPerSecond is how many heartbeats a second a lead asks for at most. At
-	// the two years' size, 71 members, each then beats every 2.2 s, of which
-	// three fit into joiner.Validity.
-	beatsPerSecond = 32
+	// maxHeartbeatsPerSecond is the highest rate of heartbeats that a leader asks its
+	// region for. With 71 members, the region size planned for two years ahead,
+	// each sends one every 2.2 s, and three of them fit into joiner.Validity.
+	maxHeartbeatsPerSecond = 32
 
-	// rejoin is how long a lead that lost its lease has to be heard of as a
-	// member.
-	rejoin = 1500 * timekeeper.Millis(1)
+	// formerLeaderTimeout is how long a former leader has to send a heartbeat as an ordinary
+	// member before it is removed from the roster.
+	formerLeaderTimeout = 1500 * timekeeper.Millis(1)
 
-	// digits is how many digits of an average a summary tells.
-	digits = 3
+	// significantDigits is the number of significant digits of the averages in a summary.
+	significantDigits = 3
 
-	// leastUsage is the use of slots below which an origin is forgotten.
-	leastUsage = 0.001
+	// minUsage is the average slot use below which an origin is dropped.
+	minUsage = 0.001
 
-	probeTimeout = 500 * time.Millisecond
-	probeEvery   = 300 * time.Millisecond
-	probeTries   = 20
+	probeTimeout  = 500 * time.Millisecond
+	probeInterval = 300 * time.Millisecond
+	probeAttempts = 20
 )
 
 type (
-	// members is what a lead knows of the members of its region.
+	// members is the leader's record of the members of its region.
 	members struct {
 		lock   sync.Mutex
 		all    map[registrar.Incarnation]*memberRecord
 		damper Damper
-		// past is the members that went lately.
+		// past lists members that left the roster within registrar.History.
 		past []registrar.Past
 	}
 
 	memberRecord struct {
-		member registrar.Member
-		heard  timekeeper.Millis
-		// since is the wall time at which it was taken in.
-		since    timekeeper.Millis
-		settings recorder.Number
-		plan     planner.Number
-		leaving  bool
-		dead     bool
-		loads    map[loadKey]SiteLoad
-		work     map[workKey]usage
+		member        registrar.Member
+		lastHeartbeat timekeeper.Millis
+		// summaryRevision is the wall time at which the member was admitted.
+		since      timekeeper.Millis
+		settings   recorder.Number
+		plan       planner.Number
+		leaving    bool
+		terminated bool
+		loads      map[loadKey]SiteLoad
+		work       map[workKey]usage
 	}
 
 	loadKey struct {
@@ -77,7 +77,7 @@
 		origin  registrar.Site
 	}
 
-	// usage is the slots in use on average by an origin's requests at the
+	// usage is the average number of slots that an origin's requests use at the
 	// upstreams of one member.
 	usage float64
 )
@@ -86,10 +86,10 @@
 	return &members{all: map[registrar.Incarnation]*memberRecord{}}
 }
 
-// inherit takes over the members of a roster that another lead wrote. Each has
-// the full silence from now to be heard of, but for the lead before: its
-// membership ended with its lease.
-func (m *members) inherit(r registrar.Roster, before registrar.Incarnation, now timekeeper.Millis) {
+// adopt adds the members of a roster written by an earlier leader. Each has the
+// full Silence from now to send a heartbeat, except the previous leader, whose
+// membership ended with its lease and which has only rejoin.
+func (m *members) adopt(r registrar.Roster, before registrar.Incarnation, now timekeeper.Millis) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	for _, x := range r.Members {
@@ -98,61 +98,61 @@
 		}
 		heard := now
 		if x.Incarnation == before {
-			heard = now - Silence + rejoin
+			heard = now - Silence + formerLeaderTimeout
 		}
-		m.all[x.Incarnation] = &memberRecord{member: x, heard: heard, leaving: x.Leaving, since: x.SinceMillis}
+		m.all[x.Incarnation] = &memberRecord{member: x, lastHeartbeat: heard, leaving: x.Leaving, since: x.SinceMillis}
 	}
 	m.past = r.Past
 }
 
-// hear notes a heartbeat and reports whether it brings news: the roster must
-// change, or a number in force did.
+// recordHeartbeat records a heartbeat and reports whether the roster or a number in force
+// changes with it.
 //
-// x is what the heartbeat says of loads, nil when nothing can be read from it; what
-// was heard before stays then.
-func (m *members) hear(from registrar.Member, h *framer.Heartbeat, x *reading, now, wall timekeeper.Millis) bool {
+// x holds the loads in the heartbeat. If it is nil, because they could not be
+// decoded, the member's previous loads are kept.
+func (m *members) recordHeartbeat(from registrar.Member, h *framer.Heartbeat, x *loadReport, now, wall timekeeper.Millis) bool {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	r := m.all[from.Incarnation]
-	if r == nil && m.damper.Holds(from.Links, now) {
+	if r == nil && m.damper.Suppresses(from.Links, now) {
 		return false
 	}
-	changed := r == nil || r.leaving != h.Leaving || r.dead ||
+	changed := r == nil || r.leaving != h.Leaving || r.terminated ||
 		r.settings != recorder.Number(h.Settings) || r.plan != planner.Number(h.Plan)
 	if r == nil {
 		r = &memberRecord{since: wall}
 		m.all[from.Incarnation] = r
-		m.replace(from)
+		m.markSuperseded(from)
 	}
 	r.member = from
-	r.heard = now
+	r.lastHeartbeat = now
 	r.settings = recorder.Number(h.Settings)
 	r.plan = planner.Number(h.Plan)
 	r.leaving = h.Leaving
-	r.dead = false
+	r.terminated = false
 	if x != nil {
-		r.measure(x)
+		r.updateLoads(x)
 	}
 	return changed
 }
 
-// replace marks earlier lives of a VM as dead: another process listens at its
-// address now.
-func (m *members) replace(by registrar.Member) {
+// markSuperseded marks earlier incarnations at the same address as terminated: another
+// process listens there now.
+func (m *members) markSuperseded(by registrar.Member) {
 	for i, r := range m.all {
 		if i != by.Incarnation && r.member.Links == by.Links {
-			r.dead = true
+			r.terminated = true
 		}
 	}
 }
 
-// measure takes what a heartbeat said of loads. Half of what was known of the
-// works stays, so that one busy span does not move anybody.
-func (r *memberRecord) measure(x *reading) {
+// updateLoads updates the member's loads from a heartbeat. Work is averaged with half of
+// the previous value, so that one busy interval does not move any traffic.
+func (r *memberRecord) updateLoads(x *loadReport) {
 	r.loads = x.loads
 	work := map[workKey]usage{}
 	for k, u := range r.work {
-		if u > leastUsage {
+		if u > minUsage {
 			work[k] = u / 2
 		}
 	}
@@ -165,52 +165,52 @@
 	r.work = work
 }
 
-// lapse drops members that were silent for too long or are known to be dead,
-// and reports whether there were any.
-func (m *members) lapse(now, wall timekeeper.Millis) []registrar.Member {
+// removeExpired removes members that have been silent for Silence or have terminated, and
+// returns them.
+func (m *members) removeExpired(now, wall timekeeper.Millis) []registrar.Member {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	var gone []registrar.Member
 	for i, r := range m.all {
-		if r.dead || now-r.heard >= Silence {
+		if r.terminated || now-r.lastHeartbeat >= Silence {
 			gone = append(gone, r.member)
 			m.past = append(m.past, registrar.Past{Incarnation: i, SinceMillis: r.since, GoneMillis: wall})
 			delete(m.all, i)
 			if !r.leaving {
-				m.damper.Lost(r.member.Links, now)
+				m.damper.RecordLoss(r.member.Links, now)
 			}
 		}
 	}
-	m.damper.Forget(now)
+	m.damper.Prune(now)
 	m.past = slices.DeleteFunc(m.past, func(p registrar.Past) bool { return p.GoneMillis < wall-registrar.History })
 	return gone
 }
 
-// bury marks a member as dead, unless it was heard of since.
-func (m *members) bury(i registrar.Incarnation, since timekeeper.Millis) {
+// markTerminated marks a member as terminated unless it sent a heartbeat after since.
+func (m *members) markTerminated(i registrar.Incarnation, since timekeeper.Millis) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	if r := m.all[i]; r != nil && r.heard <= since {
-		r.dead = true
+	if r := m.all[i]; r != nil && r.lastHeartbeat <= since {
+		r.terminated = true
 	}
 }
 
-// beat is the time between two heartbeats that m asks of everyone, so that what a
-// lead hears does not grow with its region beyond a limit.
-func (m *members) beat() timekeeper.Millis {
+// heartbeatInterval returns the heartbeat interval to ask of every member. It grows with the
+// region so that the leader receives at most maxHeartbeatsPerSecond.
+func (m *members) heartbeatInterval() timekeeper.Millis {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	return max(timekeeper.Second, timekeeper.Second*timekeeper.Millis(len(m.all))/beatsPerSecond)
+	return max(timekeeper.Second, timekeeper.Second*timekeeper.Millis(len(m.all))/maxHeartbeatsPerSecond)
 }
 
-// known tells whether the member is on the list.
-func (m *members) known(i registrar.Incarnation) bool {
+// contains reports whether the member is in m.
+func (m *members) contains(i registrar.Incarnation) bool {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.all[i] != nil
 }
 
-// list returns the members as they stand on the roster.
+// list returns the current and past members as they are written to the roster.
 func (m *members) list() ([]registrar.Member, []registrar.Past) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -224,7 +224,7 @@
 	return out, slices.Clone(m.past)
 }
 
-// summarize fills in what the heartbeats told.
+// summarize fills in the numbers, loads and work reported by heartbeats.
 func (m *members) summarize(s *Summary) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -243,12 +243,13 @@
 		s.Sites = append(s.Sites, *l)
 	}
 	for k, u := range work {
-		s.Work = append(s.Work, OriginWork{Service: k.service, Origin: k.origin, Slots: rounded(float64(u))})
+		s.Work = append(s.Work, OriginWork{Service: k.service, Origin: k.origin, Slots: roundSignificant(float64(u))})
 	}
 	s.sort()
 }
 
-// countNumbers fills in which numbers members run. The caller holds the lock.
+// countNumbers fills in how many members run each pair of settings and plan numbers.
+// The caller must hold the lock.
 func (m *members) countNumbers(s *Summary) {
 	counts := map[NumberCount]NumberCount{}
 	for _, r := range m.all {
@@ -266,16 +267,18 @@
 	}
 }
 
-// rounded keeps three digits, which is more than averages are worth.
-func rounded(f float64) float64 {
+// roundSignificant rounds f to three significant digits, more than the averages are accurate
+// to.
+func roundSignificant(f float64) float64 {
 	if f <= 0 {
 		return 0
 	}
-	unit := math.Pow10(int(math.Floor(math.Log10(f))) - digits + 1)
+	unit := math.Pow10(int(math.Floor(math.Log10(f))) - significantDigits + 1)
 	if unit >= 1 {
 		return math.Round(f/unit) * unit
 	}
-	// Division by a whole number keeps the decimal short.
+	// Dividing by a whole number, rather than multiplying by a fraction, yields a
+	// float with a short decimal form.
 	return math.Round(f/unit) / math.Round(1/unit)
 }
 
@@ -291,25 +294,26 @@
 	t.Peak += l.Peak
 }
 
-// runProbe finds out whether a member whose link was lost is dead: nothing
-// listens at its address, or another process does. A link that was cut on the
-// way shows neither, and the member keeps its place until it was silent.
+// runProbe determines whether a member whose link was lost has terminated: either
+// nothing listens at its address, or another process does. A network failure shows
+// neither, and the member stays on the roster until Silence has passed.
 func (l *Leader) runProbe(ctx context.Context, m registrar.Member, since timekeeper.Millis) {
-	for range probeTries {
-		if l.refuses(ctx, m) {
-			l.members.bury(m.Incarnation, since)
-			l.poke()
+	for range probeAttempts {
+		if l.refusesConnection(ctx, m) {
+			l.members.markTerminated(m.Incarnation, since)
+			l.wakeDuties()
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(probeEvery):
+		case <-time.After(probeInterval):
 		}
 	}
 }
 
-func (l *Leader) refuses(ctx context.Context, m registrar.Member) bool {
+// refusesConnection reports whether a connection to the member is refused.
+func (l *Leader) refusesConnection(ctx context.Context, m registrar.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	c, err := l.Links.DialAddress(ctx, m.Links)
@@ -320,7 +324,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// sameMembers tells whether two lists name the same members in the same state.
+// sameMembers reports whether two lists hold the same members in the same state.
 func sameMembers(a, b []registrar.Member) bool {
 	if len(a) != len(b) {
 		return false
@@ -333,7 +337,8 @@
 	return true
 }
 
-// staleLead tells whether a fence is behind what the roster carries.
-func staleLead(mine, roster leaser.Fence) bool {
-	return mine < roster
+// staleFence reports whether a fence is older than the one an object was written
+// under.
+func staleFence(own, written leaser.Fence) bool {
+	return own < written
 }
--- a/internal/process/leader/plan.go
+++ b/internal/process/leader/plan.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	planEvery = 500 * time.Millisecond
+	planInterval = 500 * time.Millisecond
 
-	// summaryAge is how old a summary may be for the planner to act on it.
-	summaryAge = 10 * timekeeper.Second
+	// maxSummaryAge is the age above which the planner treats a summary as stale.
+	maxSummaryAge = 10 * timekeeper.Second
 )
 
 type (
-	// planning is the state of the planner's duty.
-	planning struct {
-		lease *leaser.Lease
-		mover planner.Mover
-		seen  map[string]seenSummary
-		// since is up to where summaries were read.
-		since storer.Revision
-		// last is the plan as read or written last; known tells that there is
-		// one, at its revision.
-		last  planner.Plan
-		at    storer.Revision
-		known bool
-	}
-
-	// seenSummary is a summary and when it was first seen, by our own clock.
-	seenSummary struct {
+	// plannerState is the state of the planner.
+	plannerState struct {
+		lease     *leaser.Lease
+		mover     planner.Mover
+		summaries map[string]observedSummary
+		// summaryRevision is the revision up to which summaries were read.
+		summaryRevision storer.Revision
+		// last is the plan as last read or written, planRevision its revision. They
+		// are valid only if known is set.
+		last         planner.Plan
+		planRevision storer.Revision
+		known        bool
+	}
+
+	// observedSummary is a summary and the local time at which it was first seen.
+	observedSummary struct {
 		at      timekeeper.Millis
 		summary Summary
 	}
 )
 
-// runPlanner plans for the fleet while this lead holds that lease too.
+// runPlanner plans for the fleet while this leader also holds the planner lease.
 func (l *Leader) runPlanner(ctx context.Context) {
 	lease := &leaser.Lease{
 		Store:   l.Store,
@@ -53,10 +53,10 @@
 		Address: l.Lease.Address,
 		Clock:   l.Clock,
 	}
-	l.planner.Store(lease)
+	l.plannerLease.Store(lease)
 	go l.runPlannerLease(ctx, lease)
-	p := planning{lease: lease, seen: map[string]seenSummary{}}
-	t := time.NewTicker(planEvery)
+	p := plannerState{lease: lease, summaries: map[string]observedSummary{}}
+	t := time.NewTicker(planInterval)
 	defer t.Stop()
 	var under leaser.Fence
 	for {
@@ -80,9 +80,9 @@
 	}
 }
 
-// PlannerFence returns the fence under which this lead plans, 0 when it does not.
+// PlannerFence returns the fence of the planner lease, 0 if it is not held.
 func (l *Leader) PlannerFence() leaser.Fence {
-	lease := l.planner.Load()
+	lease := l.plannerLease.Load()
 	if lease == nil {
 		return 0
 	}
@@ -90,10 +90,10 @@
 	return fence
 }
 
-// Broken counts broken invariants of the leases.
+// Broken returns the number of broken invariants of both leases.
 func (l *Leader) Broken() uint64 {
 	n := l.Lease.Broken()
-	if lease := l.planner.Load(); lease != nil {
+	if lease := l.plannerLease.Load(); lease != nil {
 		n += lease.Broken()
 	}
 	return n
@@ -103,7 +103,8 @@
 	lease.Run(ctx, func(f leaser.Fence, held bool) {
 		l.Log.WithFields(logrus.Fields{"fence": f, "held": held}).Info("planner's lease changed")
 	})
-	// The duties end with the lead. Whoever leads next need not wait.
+	// Planning ends with the leadership. Releasing the lease saves the next leader
+	// the wait for its expiry.
 	if _, held := lease.Held(); held {
 		ctx, cancel := context.WithTimeout(context.Background(), storer.DefaultTimeout.Duration())
 		defer cancel()
@@ -111,9 +112,10 @@
 	}
 }
 
-// plan makes one step. With seal it writes the plan in any case, which shuts
-// out a late write of the planner before. It reports whether it could act.
-func (l *Leader) plan(ctx context.Context, p *planning, fence leaser.Fence, seal bool) bool {
+// plan runs one planning step and reports whether it succeeded. With seal it writes
+// the plan even if it is unchanged, so that a delayed write by the previous planner
+// fails.
+func (l *Leader) plan(ctx context.Context, p *plannerState, fence leaser.Fence, seal bool) bool {
 	if err := l.readPlan(ctx, p); err != nil || p.last.Fence > fence {
 		p.known = false
 		return false
@@ -146,8 +148,8 @@
 	return l.writePlan(ctx, p, next)
 }
 
-// readPlan reads the plan unless it is known from the last write.
-func (l *Leader) readPlan(ctx context.Context, p *planning) error {
+// readPlan reads the plan unless it is known from the last read or write.
+func (l *Leader) readPlan(ctx context.Context, p *plannerState) error {
 	if p.known {
 		return nil
 	}
@@ -155,7 +157,7 @@
 	if err != nil && !errors.Is(err, storer.ErrNotFound) {
 		return err
 	}
-	p.last, p.at = planner.Plan{}, o.Revision
+	p.last, p.planRevision = planner.Plan{}, o.Revision
 	if err == nil {
 		if p.last, err = planner.Decode(o.Body); err != nil {
 			return err
@@ -165,7 +167,7 @@
 	return nil
 }
 
-func (l *Leader) writePlan(ctx context.Context, p *planning, next planner.Plan) bool {
+func (l *Leader) writePlan(ctx context.Context, p *plannerState, next planner.Plan) bool {
 	body, err := next.Encode()
 	if err != nil {
 		return false
@@ -173,41 +175,43 @@
 	if _, held := p.lease.Held(); !held {
 		return false
 	}
-	at, err := l.put(ctx, planner.ObjectName, body, p.at)
+	at, err := l.put(ctx, planner.ObjectName, body, p.planRevision)
 	if err != nil {
-		// Another revision, or nobody knows: it is read anew.
+		// Either the revision differs or the outcome is unknown. The plan is read
+		// again before the next write.
 		p.known = false
 		return false
 	}
-	p.last, p.at = next, at
+	p.last, p.planRevision = next, at
 	return true
 }
 
-// readSummaries notes which summaries moved on since the last look.
-func (l *Leader) readSummaries(ctx context.Context, p *planning) error {
-	b, err := l.Store.Watch(ctx, []string{SummaryPrefix}, p.since, 0)
+// readSummaries records the summaries that changed since the last call.
+func (l *Leader) readSummaries(ctx context.Context, p *plannerState) error {
+	b, err := l.Store.Watch(ctx, []string{SummaryPrefix}, p.summaryRevision, 0)
 	if err != nil {
 		return err
 	}
-	p.since = b.Revision
+	p.summaryRevision = b.Revision
 	now := l.Clock.Now()
 	for _, o := range b.Objects {
 		s, err := DecodeSummary(o.Body)
 		if err != nil {
 			continue
 		}
-		old := p.seen[s.Region].summary
+		old := p.summaries[s.Region].summary
 		if old.Sequence != s.Sequence || old.Fence != s.Fence {
-			p.seen[s.Region] = seenSummary{at: now, summary: s}
+			p.summaries[s.Region] = observedSummary{at: now, summary: s}
 		}
 	}
 	return nil
 }
 
-// inForce tells whether every member of every region runs a plan.
-func (l *Leader) inForce(p *planning, n planner.Number) bool {
-	for region, members := range l.regions() {
-		s := p.seen[region].summary
+// inForce reports whether every member of every region runs plan number n or a later
+// one.
+func (l *Leader) inForce(p *plannerState, n planner.Number) bool {
+	for region, members := range l.memberCounts() {
+		s := p.summaries[region].summary
 		if have, _ := s.Members(); have < members || !s.runsPlan(n) {
 			return false
 		}
@@ -215,8 +219,8 @@
 	return true
 }
 
-// regions returns how many members each roster lists.
-func (l *Leader) regions() map[string]int {
+// memberCounts returns the number of members on the roster of each region.
+func (l *Leader) memberCounts() map[string]int {
 	out := map[string]int{}
 	for _, o := range l.Replica.Under(registrar.Prefix) {
 		if r, err := registrar.Decode(o.Body); err == nil && len(r.Members) > 0 {
@@ -226,13 +230,14 @@
 	return out
 }
 
-// load joins the summaries.
-func (l *Leader) load(p *planning) planner.Load {
+// load adds up the work in the summaries of all regions. Regions without a recent
+// summary are listed as stale.
+func (l *Leader) load(p *plannerState) planner.Load {
 	out := planner.Load{Work: map[resolver.ServiceName]planner.Demand{}}
 	now := l.Clock.Now()
-	for region := range l.regions() {
-		s, ok := p.seen[region]
-		if !ok || now-s.at > summaryAge {
+	for region := range l.memberCounts() {
+		s, ok := p.summaries[region]
+		if !ok || now-s.at > maxSummaryAge {
 			out.Stale = append(out.Stale, region)
 			continue
 		}
--- a/internal/process/leader/relay.go
+++ b/internal/process/leader/relay.go
@@ -6,24 +6,24 @@
 	"github.com/gullvale/gullvale/pkg/storer"
 )
 
-// track remembers a member's link and sends it what it lacks.
+// track records a member's link and sends it the objects it lacks.
 func (l *Leader) track(s *linker.Session, has storer.Revision) {
 	l.lock.Lock()
 	c := l.cursors[s]
 	if c == nil {
-		c = &cursor{sent: has, at: l.Clock.Now()}
+		c = &cursor{sent: has, sentAt: l.Clock.Now()}
 		l.cursors[s] = c
 	}
 	l.lock.Unlock()
 	c.lock.Lock()
-	if has < c.sent && l.Clock.Now()-c.at > resendAfter {
+	if has < c.sent && l.Clock.Now()-c.sentAt > resendAfter {
 		c.sent = has
 	}
 	c.lock.Unlock()
 	l.send(s, c)
 }
 
-// Relay passes new objects on to all members.
+// Relay sends new objects to all members.
 func (l *Leader) Relay() {
 	l.lock.Lock()
 	all := make(map[*linker.Session]*cursor, len(l.cursors))
@@ -48,10 +48,11 @@
 		return
 	}
 	c.sent = b.Revision
-	c.at = l.Clock.Now()
+	c.sentAt = l.Clock.Now()
 }
 
-// SendObjects sends a batch over a link, in as many frames as it takes.
+// SendObjects sends a batch over a link, split into frames whose bodies total at most
+// storer.MaxObjectBytes unless a single object is larger.
 func SendObjects(s *linker.Session, b storer.Batch) error {
 	m := &framer.Objects{}
 	size := 0
@@ -66,12 +67,12 @@
 		size += len(o.Body)
 		m.Objects = append(m.Objects, &framer.Object{Name: o.Name, Revision: uint64(o.Revision), Body: o.Body})
 	}
-	// Only the last frame claims to be complete up to the revision.
+	// Only the last frame carries the revision up to which the batch is complete.
 	m.Revision = uint64(b.Revision)
 	return s.Send(framer.KindObjects, m)
 }
 
-// ReadObjects is the other end of SendObjects.
+// ReadObjects decodes a frame sent by SendObjects.
 func ReadObjects(f framer.Frame) (storer.Batch, error) {
 	var m framer.Objects
 	if err := f.Decode(&m); err != nil {
--- a/internal/process/leader/report.go
+++ b/internal/process/leader/report.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	// summaryEvery is the time between two summaries while only the load
-	// changes, summaryLatest that without any change.
-	summaryEvery  = timekeeper.Second
-	summaryLatest = 5 * timekeeper.Second
+	// minSummaryInterval is the time between two summaries while only the load changes,
+	// maxSummaryInterval the time between two summaries without any change.
+	minSummaryInterval = timekeeper.Second
+	maxSummaryInterval = 5 * timekeeper.Second
 )
 
-// summaryState is the summary written last.
+// summaryState is the last summary written. revision is that of the object and is
+// valid only if known is set.
 type summaryState struct {
 	Summary
-	at      storer.Revision
-	known   bool
-	written timekeeper.Millis
+	revision  storer.Revision
+	known     bool
+	writtenAt timekeeper.Millis
 }
 
-// dutySummary writes what the region does: at once when a number in force
-// changed, soon when the load did, and now and then in any case.
-func (l *Leader) dutySummary(ctx context.Context, fence leaser.Fence, last *summaryState) {
+// updateSummary writes the region's summary: at once when a number in force changed,
+// after minSummaryInterval when the load changed, and after maxSummaryInterval in any case.
+func (l *Leader) updateSummary(ctx context.Context, fence leaser.Fence, last *summaryState) {
 	now := l.Clock.Now()
 	next := Summary{Region: l.Region, Fence: fence, Sequence: last.Sequence + 1, AtMillis: l.Clock.WallNow()}
 	l.members.summarize(&next)
-	since := now - last.written
-	if since < summaryEvery && sameNumbers(last.Summary, next) {
+	since := now - last.writtenAt
+	if since < minSummaryInterval && sameNumbers(last.Summary, next) {
 		return
 	}
-	if since < summaryLatest && sameNumbers(last.Summary, next) && sameLoad(last.Summary, next) {
+	if since < maxSummaryInterval && sameNumbers(last.Summary, next) && sameLoad(last.Summary, next) {
 		return
 	}
 	if !last.known && !l.readSummary(ctx, fence, last) {
@@ -44,26 +45,27 @@
 	if err != nil {
 		return
 	}
-	at, err := l.put(ctx, SummaryPrefix+l.Region, body, last.at)
+	at, err := l.put(ctx, SummaryPrefix+l.Region, body, last.revision)
 	if err != nil {
-		// Another revision, or nobody knows: it is read anew before the next.
+		// Either the revision differs or the outcome is unknown. The summary is read
+		// again before the next write.
 		last.known = false
 		return
 	}
-	*last = summaryState{Summary: next, at: at, known: true, written: now}
+	*last = summaryState{Summary: next, revision: at, known: true, writtenAt: now}
 }
 
-// readSummary finds the revision of the summary object. It reports false when it
-// cannot, or when a later lead has written there.
+// readSummary reads the revision of the summary object. It reports false if the read
+// fails or if a later leader has written the object.
 func (l *Leader) readSummary(ctx context.Context, fence leaser.Fence, last *summaryState) bool {
 	o, err := l.Store.Get(ctx, SummaryPrefix+l.Region)
 	if err != nil && !errors.Is(err, storer.ErrNotFound) {
 		return false
 	}
-	if old, err := DecodeSummary(o.Body); err == nil && staleLead(fence, old.Fence) {
+	if old, err := DecodeSummary(o.Body); err == nil && staleFence(fence, old.Fence) {
 		return false
 	}
-	last.at = o.Revision
+	last.revision = o.Revision
 	last.known = true
 	return true
 }
--- a/internal/process/leader/roster.go
+++ b/internal/process/leader/roster.go
@@ -11,22 +11,22 @@
 	"github.com/gullvale/gullvale/pkg/storer"
 )
 
-// dutyRoster writes the roster when the membership changed. The first write
-// of a holding seals the object under its fence.
-func (l *Leader) dutyRoster(ctx context.Context, fence leaser.Fence) {
+// updateRoster writes the roster when the membership changed. The first write after the
+// lease is acquired happens in any case, to put the object under the new fence.
+func (l *Leader) updateRoster(ctx context.Context, fence leaser.Fence) {
 	l.lock.Lock()
 	sealed := l.sealed
 	l.lock.Unlock()
-	if !sealed && !l.inherit(ctx, fence) {
+	if !sealed && !l.adoptRoster(ctx, fence) {
 		return
 	}
-	for _, m := range l.members.lapse(l.Clock.Now(), l.Clock.WallNow()) {
+	for _, m := range l.members.removeExpired(l.Clock.Now(), l.Clock.WallNow()) {
 		l.Log.WithField("member", m.Name).Info("member lapsed")
 	}
 	list, past := l.members.list()
 	l.lock.Lock()
 	next := l.roster
-	at := l.rosters
+	at := l.rosterRevision
 	l.lock.Unlock()
 	if sealed && sameMembers(next.Members, list) {
 		return
@@ -42,9 +42,9 @@
 	l.writeRoster(ctx, next, at)
 }
 
-// inherit reads the roster of the lead before. It reports false when that is
-// not possible now.
-func (l *Leader) inherit(ctx context.Context, fence leaser.Fence) bool {
+// adoptRoster reads the roster of the previous leader and adopts its members. It
+// reports false if the roster cannot be read or was written under a later fence.
+func (l *Leader) adoptRoster(ctx context.Context, fence leaser.Fence) bool {
 	o, err := l.Store.Get(ctx, registrar.ObjectName(l.Region))
 	if errors.Is(err, storer.ErrNotFound) {
 		return true
@@ -53,15 +53,15 @@
 		return false
 	}
 	r, err := registrar.Decode(o.Body)
-	if err != nil || staleLead(fence, r.Fence) {
+	if err != nil || staleFence(fence, r.Fence) {
 		return false
 	}
 	lease, _ := l.Lease.Current()
-	l.members.inherit(r, registrar.Incarnation(lease.Before), l.Clock.Now())
+	l.members.adopt(r, registrar.Incarnation(lease.Before), l.Clock.Now())
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.roster = r
-	l.rosters = o.Revision
+	l.rosterRevision = o.Revision
 	return true
 }
 
@@ -75,12 +75,12 @@
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if err != nil {
-		// Whether it took effect will be seen when it is read anew.
+		// The outcome is unknown. The roster is read again before the next write.
 		l.sealed = false
 		return
 	}
 	l.roster = next
-	l.rosters = revision
+	l.rosterRevision = revision
 	l.sealed = true
 	l.Log.WithFields(logrus.Fields{"version": next.Version, "members": len(next.Members)}).Info("roster written")
 }
--- a/internal/process/leader/summary.go
+++ b/internal/process/leader/summary.go
@@ -16,29 +16,29 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// SummaryPrefix is what the names of summary objects start with.
+// SummaryPrefix is the name prefix of summary objects.
 const SummaryPrefix = "Summary/"
 
-// loadStep is the change of what an origin uses of a service, as a part of the
-// region's slots, that is worth a summary before the next regular one. The slots in
-// use at a moment are no such change: under load they always change.
-const loadStep = 0.1
+// significantLoadChange is the change in an origin's average use of a service, as a fraction of
+// the service's slots in the region, that triggers a summary before the next regular
+// one. The slots in use at a moment don't trigger one: under load they always change.
+const significantLoadChange = 0.1
 
 type (
-	// Summary is what a lead tells of its region.
+	// Summary is a leader's report on its region.
 	Summary struct {
 		Region   string
 		Fence    leaser.Fence
 		Sequence uint64
 		AtMillis timekeeper.Millis
-		// Numbers is how many members run which numbers, so that the summary
-		// does not grow with the members.
+		// Numbers counts members by the numbers they run, so that the size of the
+		// summary does not depend on the number of members.
 		Numbers []NumberCount
 		Sites   []SiteLoad
 		Work    []OriginWork
 	}
 
-	// NumberCount is the members that run the same numbers.
+	// NumberCount counts the members that run the same settings and plan numbers.
 	NumberCount struct {
 		Settings recorder.Number
 		Plan     planner.Number
@@ -56,7 +56,7 @@
 		Peak    uint32
 	}
 
-	// OriginWork is the slots that requests of one origin use on average.
+	// OriginWork is the average number of slots used by the requests of one origin.
 	OriginWork struct {
 		Service resolver.ServiceName
 		Origin  registrar.Site
@@ -64,19 +64,20 @@
 	}
 )
 
-// DecodeSummary reads a summary object.
+// DecodeSummary decodes the body of a summary object.
 func DecodeSummary(body []byte) (Summary, error) {
 	var s Summary
 	err := packer.Unpack(body, &s)
 	return s, eris.Wrap(err, "summary")
 }
 
-// Encode writes a summary object.
+// Encode returns the body of a summary object.
 func (s Summary) Encode() ([]byte, error) {
 	return packer.Pack(s)
 }
 
-// Members is how many members the region has, and how many of them leave.
+// Members returns the number of members in the region, and how many of them are
+// leaving.
 func (s Summary) Members() (all, leaving int) {
 	for _, n := range s.Numbers {
 		all += n.Members
@@ -85,7 +86,7 @@
 	return all, leaving
 }
 
-// InForce is how many members run settings number n or a later one.
+// InForce returns the number of members that run settings number n or a later one.
 func (s Summary) InForce(n recorder.Number) int {
 	count := 0
 	for _, x := range s.Numbers {
@@ -96,14 +97,14 @@
 	return count
 }
 
-// AddWork adds the work of the region to a load.
+// AddWork adds the region's work to a load.
 func (s Summary) AddWork(to *planner.Load) {
 	for _, w := range s.Work {
 		to.Add(w.Service, w.Origin, w.Slots)
 	}
 }
 
-// runsPlan tells whether all members run plan number n or a later one.
+// runsPlan reports whether all members run plan number n or a later one.
 func (s Summary) runsPlan(n planner.Number) bool {
 	return !slices.ContainsFunc(s.Numbers, func(x NumberCount) bool { return x.Plan < n })
 }
@@ -123,13 +124,13 @@
 	})
 }
 
-// sameNumbers tells whether two summaries tell of the same numbers in force.
+// sameNumbers reports whether two summaries hold the same numbers in force.
 func sameNumbers(a, b Summary) bool {
 	return slices.Equal(a.Numbers, b.Numbers)
 }
 
-// sameLoad tells whether the slots of all sites are the same, and what origins use
-// of them on average is about the same.
+// sameLoad reports whether the slots of all sites are equal and the origins' average
+// use of them differs by at most significantLoadChange.
 func sameLoad(a, b Summary) bool {
 	if !slices.EqualFunc(a.Sites, b.Sites, SiteLoad.sameSlots) {
 		return false
@@ -146,7 +147,7 @@
 		change[workKey{w.Service, w.Origin}] += w.Slots
 	}
 	for k, c := range change {
-		if math.Abs(c) > slots[k.service]*loadStep {
+		if math.Abs(c) > slots[k.service]*significantLoadChange {
 			return false
 		}
 	}
--- a/internal/process/leader/summary_test.go
+++ b/internal/process/leader/summary_test.go
@@ -28,7 +28,7 @@
 	return registrar.Site(fmt.Sprintf("region-%d/domain-%d", i%7, i/7))
 }
 
-// summaryOf is the summary of a region of so many sites.
+// summaryOf returns the summary of a region with the given number of sites.
 func summaryOf(sites int) leader.Summary {
 	r := rand.New(rand.NewPCG(7, 7))
 	s := leader.Summary{Region: "region-0", Fence: 12, Sequence: 5000, AtMillis: 1790000000000}
@@ -56,8 +56,8 @@
 	is.Equal(got, s)
 }
 
-// BenchmarkObjects tells how long the objects are that all receive, before and
-// after packing, by what they grow with.
+// BenchmarkObjects reports the size of the objects sent to all members, before and
+// after packing, for growing numbers of sites, members and origins.
 func BenchmarkObjects(b *testing.B) {
 	for _, n := range []int{3, 6, 11} {
 		b.Run(fmt.Sprint("summary/sites=", n), func(b *testing.B) {
@@ -107,7 +107,7 @@
 	return x
 }
 
-// planOf is a plan in which each origin's requests go to six sites.
+// planOf returns a plan in which the requests of each origin go to six sites.
 func planOf(origins int) planner.Plan {
 	r := rand.New(rand.NewPCG(7, 7))
 	p := planner.Plan{Number: 9000, Fence: 12, Settings: 800}
