--- a/internal/process/leader/damper.go
+++ b/internal/process/leader/damper.go
@@ -19,10 +19,10 @@
 	// each loss and return. It is keyed by address, because a process that crashes
 	// repeatedly has a new incarnation each time. The zero value is ready to use.
 	Damper struct {
-		records map[string]*lossRecord
+		losses map[string]*losses
 	}
 
-	lossRecord struct {
+	losses struct {
 		count int
 		last  timekeeper.Millis
 		until timekeeper.Millis
@@ -31,13 +31,13 @@
 
 // RecordLoss records the loss of the member at an address and updates its hold-off.
 func (d *Damper) RecordLoss(address string, now timekeeper.Millis) {
-	if d.records == nil {
-		d.records = map[string]*lossRecord{}
+	if d.losses == nil {
+		d.losses = map[string]*losses{}
 	}
-	l := d.records[address]
+	l := d.losses[address]
 	if l == nil || now-l.last > flapWindow {
-		l = &lossRecord{}
-		d.records[address] = l
+		l = &losses{}
+		d.losses[address] = l
 	}
 	l.count++
 	l.last = now
@@ -49,15 +49,15 @@
 
 // Suppresses reports whether a member at an address must not be admitted yet.
 func (d *Damper) Suppresses(address string, now timekeeper.Millis) bool {
-	l := d.records[address]
+	l := d.losses[address]
 	return l != nil && now < l.until
 }
 
 // Prune removes addresses without a loss in the last flapWindow.
 func (d *Damper) Prune(now timekeeper.Millis) {
-	for a, l := range d.records {
+	for a, l := range d.losses {
 		if now-l.last > flapWindow {
-			delete(d.records, a)
+			delete(d.losses, a)
 		}
 	}
 }
--- a/internal/process/leader/leader.go
+++ b/internal/process/leader/leader.go
@@ -60,8 +60,8 @@
 		numberings numberings
 		members    *members
 		wake       chan struct{}
-		// plannerLease is the planner lease, nil until this process first leads.
-		plannerLease atomic.Pointer[leaser.Lease]
+		// planner is the planner lease, nil until this process first leads.
+		planner atomic.Pointer[leaser.Lease]
 
 		lock           sync.Mutex
 		cancel         context.CancelFunc
--- a/internal/process/leader/members.go
+++ b/internal/process/leader/members.go
@@ -86,21 +86,21 @@
 	return &members{all: map[registrar.Incarnation]*memberRecord{}}
 }
 
-// adopt adds the members of a roster written by an earlier leader. Each has the
+// adoptRoster adds the members of a roster written by an earlier leader. Each has the
 // full Silence from now to send a heartbeat, except the previous leader, whose
 // membership ended with its lease and which has only rejoin.
-func (m *members) adopt(r registrar.Roster, before registrar.Incarnation, now timekeeper.Millis) {
+func (m *members) adoptRoster(r registrar.Roster, before registrar.Incarnation, now timekeeper.Millis) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	for _, x := range r.Members {
 		if m.all[x.Incarnation] != nil {
 			continue
 		}
-		heard := now
+		lastHeartbeat := now
 		if x.Incarnation == before {
-			heard = now - Silence + formerLeaderTimeout
+			lastHeartbeat = now - Silence + formerLeaderTimeout
 		}
-		m.all[x.Incarnation] = &memberRecord{member: x, lastHeartbeat: heard, leaving: x.Leaving, since: x.SinceMillis}
+		m.all[x.Incarnation] = &memberRecord{member: x, lastHeartbeat: lastHeartbeat, leaving: x.Leaving, since: x.SinceMillis}
 	}
 	m.past = r.Past
 }
--- a/internal/process/leader/plan.go
+++ b/internal/process/leader/plan.go
@@ -30,11 +30,11 @@
 		summaries map[string]observedSummary
 		// summaryRevision is the revision up to which summaries were read.
 		summaryRevision storer.Revision
-		// last is the plan as last read or written, planRevision its revision. They
+		// last is the plan as last read or written, at its revision. They
 		// are valid only if known is set.
-		last         planner.Plan
-		planRevision storer.Revision
-		known        bool
+		last  planner.Plan
+		at    storer.Revision
+		known bool
 	}
 
 	// observedSummary is a summary and the local time at which it was first seen.
@@ -53,7 +53,7 @@
 		Address: l.Lease.Address,
 		Clock:   l.Clock,
 	}
-	l.plannerLease.Store(lease)
+	l.planner.Store(lease)
 	go l.runPlannerLease(ctx, lease)
 	p := plannerState{lease: lease, summaries: map[string]observedSummary{}}
 	t := time.NewTicker(planInterval)
@@ -82,7 +82,7 @@
 
 // PlannerFence returns the fence of the planner lease, 0 if it is not held.
 func (l *Leader) PlannerFence() leaser.Fence {
-	lease := l.plannerLease.Load()
+	lease := l.planner.Load()
 	if lease == nil {
 		return 0
 	}
@@ -93,7 +93,7 @@
 // Broken returns the number of broken invariants of both leases.
 func (l *Leader) Broken() uint64 {
 	n := l.Lease.Broken()
-	if lease := l.plannerLease.Load(); lease != nil {
+	if lease := l.planner.Load(); lease != nil {
 		n += lease.Broken()
 	}
 	return n
@@ -157,7 +157,7 @@
 	if err != nil && !errors.Is(err, storer.ErrNotFound) {
 		return err
 	}
-	p.last, p.planRevision = planner.Plan{}, o.Revision
+	p.last, p.at = planner.Plan{}, o.Revision
 	if err == nil {
 		if p.last, err = planner.Decode(o.Body); err != nil {
 			return err
@@ -175,14 +175,14 @@
 	if _, held := p.lease.Held(); !held {
 		return false
 	}
-	at, err := l.put(ctx, planner.ObjectName, body, p.planRevision)
+	at, err := l.put(ctx, planner.ObjectName, body, p.at)
 	if err != nil {
 		// Either the revision differs or the outcome is unknown. The plan is read
 		// again before the next write.
 		p.known = false
 		return false
 	}
-	p.last, p.planRevision = next, at
+	p.last, p.at = next, at
 	return true
 }
 
--- a/internal/process/leader/report.go
+++ b/internal/process/leader/report.go
@@ -45,14 +45,14 @@
 	if err != nil {
 		return
 	}
-	at, err := l.put(ctx, SummaryPrefix+l.Region, body, last.revision)
+	revision, err := l.put(ctx, SummaryPrefix+l.Region, body, last.revision)
 	if err != nil {
 		// Either the revision differs or the outcome is unknown. The summary is read
 		// again before the next write.
 		last.known = false
 		return
 	}
-	*last = summaryState{Summary: next, revision: at, known: true, writtenAt: now}
+	*last = summaryState{Summary: next, revision: revision, known: true, writtenAt: now}
 }
 
 // readSummary reads the revision of the summary object. It reports false if the read
--- a/internal/process/leader/roster.go
+++ b/internal/process/leader/roster.go
@@ -57,7 +57,7 @@
 		return false
 	}
 	lease, _ := l.Lease.Current()
-	l.members.adopt(r, registrar.Incarnation(lease.Before), l.Clock.Now())
+	l.members.adoptRoster(r, registrar.Incarnation(lease.Before), l.Clock.Now())
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.roster = r
