--- /dev/null
+++ b/internal/process/heartbeater/heartbeater.go
@@ -0,0 +1,365 @@
+package heartbeater
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/gullvale/gullvale/internal/request/assigner"
+	"github.com/gullvale/gullvale/internal/request/limiter"
+	"github.com/gullvale/gullvale/internal/request/quarantiner"
+	"github.com/gullvale/gullvale/internal/version/cataloger"
+	"github.com/gullvale/gullvale/pkg/hasher"
+	"github.com/gullvale/gullvale/pkg/registrar"
+	"github.com/gullvale/gullvale/pkg/timekeeper"
+)
+
+const (
+	// heartbeatInterval is the time between two rounds of heartbeats.
+	heartbeatInterval = 500 * time.Millisecond
+
+	// MemberTimeout is the silence after which a member is considered dead: five
+	// heartbeats, so that a few lost datagrams have no effect.
+	MemberTimeout = 2500 * timekeeper.Millis(1)
+
+	// leaderTimeout is the silence of a leader after which the next member in the
+	// order takes over: three heartbeats.
+	leaderTimeout = 1600 * timekeeper.Millis(1)
+
+	// maxStoreAge is how long after the store's last response to a leader its members
+	// rely on the leader: a watch of 0.5 s, a round trip between regions, a
+	// heartbeat and a margin of 0.5 s. A leaving upstream must get no more work 2.5 s
+	// after it announced this, and a member that stops relying on its leader needs
+	// part of that time to read from the store itself.
+	maxStoreAge = 1500 * timekeeper.Millis(1)
+	// maxReportedStoreAge is the longest time since the store's last response that a heartbeat
+	// reports.
+	maxReportedStoreAge = timekeeper.Hour
+
+	// forgetTimeout is the silence after which a member is no longer sent heartbeats.
+	forgetTimeout = 60 * timekeeper.Second
+
+	// heartbeatTargets is the number of members of its region that a member sends heartbeats
+	// to: the leader and its next successors.
+	heartbeatTargets = 3
+
+	// remoteTableRounds is the number of rounds between two member tables sent to other
+	// regions.
+	remoteTableRounds = 1
+
+	// targetsPerRegion is the number of members of each other region that a leader
+	// sends its table to.
+	targetsPerRegion = 2
+
+	// maxDiscoveryTargets is the number of known members that a member without a leader
+	// sends heartbeats to.
+	maxDiscoveryTargets = 12
+
+	// MaxRelayBytes is the maximum size of the changes in a datagram, in bytes. Each
+	// member reads longer ones from the store.
+	MaxRelayBytes = 32 << 10
+)
+
+type (
+	// Member describes a daemon of the fleet.
+	Member struct {
+		Name        string
+		Incarnation uint64
+		Site        registrar.Site
+		// Front is the address for callers, Beats the address for datagrams.
+		Front    string
+		Beats    string
+		Ready    bool
+		Leaving  bool
+		Reaching bool
+		// Strength is the capacity of the VM, in any unit that all members share.
+		// Stronger members come first in the leader order, since a leader's cost
+		// grows with its region.
+		Strength uint32
+	}
+
+	// Changes holds all changes of one kind of object with revisions above From and
+	// up to To, as relayed by a leader. If Omitted is set, they must be read from the
+	// store.
+	Changes struct {
+		Kind    string
+		From    uint64
+		To      uint64
+		Body    []byte
+		Omitted bool
+	}
+
+	// Beater sends and receives heartbeats. Self, Send and Seeds must be set before
+	// use.
+	Beater struct {
+		// Self returns the current description of this member.
+		Self func() Member
+		// Seeds are datagram addresses of members whose names need not be known.
+		Seeds []string
+		Send  func(address string, datagram []byte)
+		// Marks returns the watermark of each kind: the revision up to which its
+		// changes are known here. May be nil.
+		Marks func() map[string]uint64
+		// Stale returns the time since the store last responded to a watch. Nil means
+		// that it is always zero.
+		Stale func() timekeeper.Millis
+		// Marked is called with each watermark of the leader, Relayed with the changes
+		// it relays. Both may be nil.
+		Marked  func(kind string, revision uint64)
+		Relayed func(Changes)
+		// Missed returns the known changes of a kind after a revision, in order and
+		// without a gap, or none if some of them are unknown. May be nil.
+		Missed func(kind string, from uint64) []Changes
+		// Homed is called with the homes of keys that another member announced. May be
+		// nil.
+		Homed func([]assigner.Assignment)
+		// Ended is called with each incarnation of an upstream that another member
+		// announced as terminated. May be nil.
+		Ended func(cataloger.Incarnation)
+		// Quarantine holds the requests suspected of crashing upstreams, which members
+		// share. Nil disables sharing. Suspected is called with the changes learned from
+		// other members; it may be nil.
+		Quarantine *quarantiner.Quarantiner
+		Suspected  func([]quarantiner.Change)
+		// Limited is called with each message about limits and its sender's address. May
+		// be nil.
+		Limited func(from string, m limiter.Message)
+		// Counted is called with the size of each datagram sent or received. May be nil.
+		Counted func(Traffic)
+		Clock   timekeeper.Clock
+
+		lock    sync.Mutex
+		members map[string]*knownMember
+		// sites holds the members' sites by their datagram addresses.
+		sites map[string]registrar.Site
+		self  Member
+		round int
+	}
+
+	// knownMember is what this member knows of another.
+	knownMember struct {
+		Member
+		// nameHash breaks ties in the leader order. It is the hash of the name.
+		nameHash hasher.Hash
+		// lastAlive is when the member was last known to be alive, by its own heartbeat
+		// or by a row with its age. Only this time is sent to others.
+		lastAlive timekeeper.Millis
+		// confirmed is the time of the last liveness confirmation by the leader. It is
+		// not sent to others, since two members could then keep a dead one alive.
+		confirmed timekeeper.Millis
+		// lastHeartbeat is when its own last heartbeat was received.
+		lastHeartbeat timekeeper.Millis
+		// lastLeading is when its last heartbeat as a leader was received, and fresh the
+		// time at which, by that heartbeat, the store had last responded to it.
+		lastLeading    timekeeper.Millis
+		storeResponded timekeeper.Millis
+	}
+)
+
+// Learn adds a member known from another source. It is not considered alive until it
+// is heard from.
+func (b *Beater) Learn(m Member) {
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	if m.Name == b.self.Name || b.members[m.Name] != nil {
+		return
+	}
+	b.insert(m, b.Clock.Now()-MemberTimeout)
+}
+
+// Alive returns the living members, including this one, sorted by name.
+func (b *Beater) Alive() []Member {
+	now := b.Clock.Now()
+	self := b.Self()
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	alive := []Member{self}
+	for _, k := range b.members {
+		if k.isAlive(now) {
+			alive = append(alive, k.Member)
+		}
+	}
+	slices.SortFunc(alive, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
+	return alive
+}
+
+// Run sends heartbeats until ctx is done.
+func (b *Beater) Run(ctx context.Context) {
+	b.Beat(false)
+	timekeeper.Every(ctx, heartbeatInterval, func() { b.Beat(false) })
+}
+
+// Beat sends one round of heartbeats. If all is set, it goes to every member of the
+// region, for changes that must be known at once.
+func (b *Beater) Beat(all bool) {
+	self := b.Self()
+	watermarks := b.watermarks()
+	b.lock.Lock()
+	b.self = self
+	b.removeSilent()
+	b.round++
+	near := b.newBeat(self, watermarks)
+	var far *Beat
+	var to, toFar []string
+	switch {
+	case near.Leading:
+		to = b.leaderTargets(self.Site.Region())
+		if all || b.round%remoteTableRounds == 0 {
+			far = &Beat{From: near.From, Leading: true, Rows: b.rows(self.Site.Region())}
+			toFar = b.remoteTargets(self.Site.Region())
+		}
+	case all:
+		to = b.region(self.Site.Region())
+	default:
+		near.Rows = b.remoteRows()
+		to = b.memberTargets(self.Site.Region())
+	}
+	b.lock.Unlock()
+	b.send(to, &Datagram{Beat: near})
+	b.send(toFar, &Datagram{Beat: far})
+}
+
+// Receive handles a datagram from an address and reports whether it could be decoded.
+// Other datagrams are dropped: they may come from another version.
+func (b *Beater) Receive(from string, datagram []byte) bool {
+	var d Datagram
+	understood := proto.Unmarshal(datagram, &d) == nil
+	defer b.count(from, Traffic{Purpose: d.purpose(), Received: int64(len(datagram))})
+	if !understood {
+		return false
+	}
+	if d.Beat != nil && d.Beat.From != nil {
+		b.handleBeat(d.Beat)
+		b.syncSuspects(d.Beat)
+	}
+	if d.Ask != nil {
+		b.handleAsk(d.Ask)
+	}
+	if h := d.Homes; h != nil && b.Homed != nil {
+		b.Homed(assignments(h))
+	}
+	if d.Ended != nil {
+		b.handleEnded(d.Ended)
+	}
+	if d.Suspects != nil {
+		b.handleSuspects(d.Suspects)
+	}
+	if d.Tokens != nil && b.Limited != nil {
+		b.Limited(from, limitMessage(d.Tokens))
+	}
+	if r := d.Relay; r != nil && b.Relayed != nil {
+		b.Relayed(Changes{Kind: r.Kind, From: r.From, To: r.To, Body: r.Changes, Omitted: r.Omitted})
+	}
+	return true
+}
+
+// newBeat returns this member's heartbeat to its region, without rows of other members. The
+// caller must hold the lock.
+func (b *Beater) newBeat(self Member, watermarks []*Mark) *Beat {
+	m := &Beat{From: row(self, 0), Following: b.following(self)}
+	if k := b.leader(self); k != nil {
+		m.Lead, m.Digest = k.Name, b.digest(false)
+		return m
+	}
+	m.Lead, m.Leading, m.Digest, m.Marks = self.Name, true, b.digest(true), watermarks
+	if b.Stale != nil {
+		m.StaleMillis = uint32(min(b.Stale(), maxReportedStoreAge))
+	}
+	return m
+}
+
+// handleBeat handles a heartbeat and sends a reply if one is needed.
+func (b *Beater) handleBeat(m *Beat) {
+	self := b.Self()
+	watermarks := b.watermarks()
+	b.lock.Lock()
+	b.self = self
+	followed := b.leader(self)
+	k := b.recordBeat(m)
+	if k == nil {
+		b.lock.Unlock()
+		return
+	}
+	near := k.Site.Region() == self.Site.Region()
+	var reply *Beat
+	to := m.From.Beats
+	switch {
+	case m.Reply:
+		if next := b.leader(self); next != nil && next != followed {
+			// Waiting for the next round would delay the new leader's response, and
+			// with it the time from which it is relied on, by a round.
+			reply, to = b.newBeat(self, nil), next.Beats
+		}
+	case near:
+		reply = b.replyTo(m, k, watermarks)
+	case !m.Following:
+		reply = b.introduction(k)
+	}
+	b.lock.Unlock()
+	if reply != nil {
+		b.send([]string{to}, &Datagram{Beat: reply})
+	}
+	if near && m.Leading && b.Marked != nil {
+		for _, r := range m.Marks {
+			b.Marked(r.Kind, r.Revision)
+		}
+	}
+}
+
+// recordBeat records the contents of a heartbeat and returns its sender, or nil if the sender is
+// this member or has no name. The caller must hold the lock.
+func (b *Beater) recordBeat(m *Beat) *knownMember {
+	now := b.Clock.Now()
+	k := b.recordRow(m.From, now)
+	if k == nil {
+		return nil
+	}
+	k.lastHeartbeat = now
+	if m.Leading {
+		k.lastLeading = now
+		k.storeResponded = now - timekeeper.Millis(m.StaleMillis)
+	}
+	if m.Full {
+		b.expireUnheard(now)
+	}
+	for _, r := range m.Rows {
+		b.recordRow(r, now-timekeeper.Millis(r.AgeMillis))
+	}
+	return k
+}
+
+// introduction returns a reply that names the best known member in the region of the sender k,
+// which hears no leader there, or nil if k itself is the best. Without it, members whose seeds
+// are all in other regions would not find each other. The caller must hold the lock.
+func (b *Beater) introduction(k *knownMember) *Beat {
+	best := b.best(k.Site.Region())
+	if best == nil || best == k {
+		return nil
+	}
+	age := b.Clock.Now() - best.lastAlive
+	return &Beat{From: row(b.self, 0), Rows: []*Row{row(best.Member, age)}, Reply: true}
+}
+
+// replyTo returns the reply to a heartbeat from a member of the region, or nil if none is
+// needed. The caller must hold the lock.
+func (b *Beater) replyTo(m *Beat, k *knownMember, watermarks []*Mark) *Beat {
+	if betterLeader := b.betterLeader(m, k, b.self); betterLeader != nil {
+		return &Beat{From: row(b.self, 0), Rows: []*Row{betterLeader}, Reply: true}
+	}
+	if m.Leading {
+		if m.Digest == b.digest(false) {
+			b.confirmLiveness(b.Clock.Now())
+		}
+		return nil
+	}
+	if b.leader(b.self) != nil || m.Digest == b.digest(true) {
+		return nil
+	}
+	reply := b.newBeat(b.self, watermarks)
+	reply.Rows, reply.Full, reply.Reply = b.rows(""), true, true
+	return reply
+}
--- a/internal/process/heartbeater/beater_test.go
+++ b/internal/process/heartbeater/heartbeater_test.go
@@ -13,12 +13,12 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// round is the time between heartbeats, as far as the tests are concerned.
+// round is the time between heartbeats in the tests, in ms.
 const round = 500
 
 type (
-	// net delivers datagrams at once, except to and from what is dead, and
-	// loses some.
+	// network delivers datagrams without delay, except to and from dead members. It
+	// drops the fraction loss of them.
 	network struct {
 		now     timekeeper.Millis
 		members map[string]*member
@@ -39,7 +39,7 @@
 	return &network{members: map[string]*member{}, random: rand.New(rand.NewPCG(1, 2))}
 }
 
-// add adds a member that knows those that are named.
+// add adds a member with the given seeds.
 func (n *network) add(name string, site registrar.Site, knows ...string) *member {
 	m := &member{self: heartbeater.Member{Name: name, Site: site, Front: "front-" + name, Beats: name, Ready: true, Reaching: true}}
 	m.Beater = &heartbeater.Beater{
@@ -77,8 +77,8 @@
 	return names
 }
 
-// leads returns who takes itself for the lead of a region.
-func (n *network) leads(region string) (names []string) {
+// leaders returns the members that consider themselves the leader of a region.
+func (n *network) leaders(region string) (names []string) {
 	for _, name := range n.names() {
 		m := n.members[name]
 		if !m.dead && m.self.Site.Region() == region && m.Leads() {
@@ -90,8 +90,8 @@
 
 var sites = []registrar.Site{"east/a", "west/a", "north/a", "east/b"}
 
-// fleet builds members that know three seeds and nothing else.
-func fleet(n *network, size int) {
+// addFleet adds members that know only three seeds.
+func addFleet(n *network, size int) {
 	for i := range size {
 		n.add(fmt.Sprintf("m%02d", i), sites[i%len(sites)], "m00", "m01", "m02")
 	}
@@ -101,10 +101,10 @@
 	is := is.New(t)
 	n := newNetwork()
 	n.loss = 0.02
-	fleet(n, 40)
+	addFleet(n, 40)
 	n.rounds(12)
 	for _, r := range []string{"east", "west", "north"} {
-		is.Equal(len(n.leads(r)), 1)
+		is.Equal(len(n.leaders(r)), 1)
 	}
 	for _, m := range n.members {
 		is.Equal(len(m.Alive()), 40)
@@ -115,14 +115,14 @@
 func TestDeadMemberIsForgotten(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
-	fleet(n, 24)
+	addFleet(n, 24)
 	n.rounds(12)
-	lead := n.leads("east")[0]
+	lead := n.leaders("east")[0]
 	n.members[lead].dead = true
 	n.members["m07"].dead = true
-	// A look-up may name a dead one for 7 s; these are 4.5.
+	// A lookup may name a dead member for 7 s; these rounds take 4.5 s.
 	n.rounds(9)
-	is.Equal(len(n.leads("east")), 1)
+	is.Equal(len(n.leaders("east")), 1)
 	for _, m := range n.members {
 		if m.dead {
 			continue
@@ -136,22 +136,23 @@
 func TestLeadThatLostTheStoreIsFollowed(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
-	fleet(n, 12)
+	addFleet(n, 12)
 	n.rounds(12)
-	old := n.leads("east")[0]
+	old := n.leaders("east")[0]
 	n.members[old].self.Reaching = false
 	n.rounds(4)
-	is.Equal(len(n.leads("east")), 1)
-	is.True(n.leads("east")[0] != old)
+	is.Equal(len(n.leaders("east")), 1)
+	is.True(n.leaders("east")[0] != old)
 }
 
-// A lead that is turned away by the store may not know it yet.
+// Members must not rely on a leader that the store no longer responds to, even before the
+// leader has noticed.
 func TestLeadThatHearsNothingIsNotReliedOn(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
-	fleet(n, 12)
+	addFleet(n, 12)
 	n.rounds(12)
-	lead := n.members[n.leads("east")[0]]
+	lead := n.members[n.leaders("east")[0]]
 	stale := timekeeper.Millis(0)
 	lead.Stale = func() timekeeper.Millis { return stale }
 	led := func() (count int) {
@@ -172,9 +173,9 @@
 func TestRelayReachesTheRegion(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
-	fleet(n, 12)
+	addFleet(n, 12)
 	n.rounds(12)
-	lead := n.leads("east")[0]
+	lead := n.leaders("east")[0]
 	n.members[lead].Relay(heartbeater.Changes{Kind: "k", From: 3, To: 5, Body: []byte("x")})
 	n.members[lead].Relay(heartbeater.Changes{Kind: "k", From: 5, To: 6, Body: make([]byte, 100<<10)})
 	for _, m := range n.members {
@@ -188,17 +189,17 @@
 	}
 }
 
-// A member asks the lead for what it missed before it asks the store.
+// A member that missed changes asks the leader for them before it asks the store.
 func TestMissedChangesComeFromTheLead(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
-	fleet(n, 12)
+	addFleet(n, 12)
 	n.rounds(12)
-	lead := n.members[n.leads("east")[0]]
+	lead := n.members[n.leaders("east")[0]]
 	lead.Missed = func(kind string, from uint64) []heartbeater.Changes {
 		return []heartbeater.Changes{{Kind: kind, From: from, To: from + 1}, {Kind: kind, From: from + 1, To: from + 4}}
 	}
-	is.True(!lead.Ask("k", 3)) // it has nobody to ask
+	is.True(!lead.Ask("k", 3)) // the leader has no other to ask
 	for _, m := range n.members {
 		if m.self.Site.Region() == "east" && m != lead {
 			is.True(m.Ask("k", 7))
--- a/internal/process/heartbeater/homes.go
+++ b/internal/process/heartbeater/homes.go
@@ -8,13 +8,13 @@
 	"github.com/gullvale/gullvale/pkg/hasher"
 )
 
-// EncodeHomes packs homes of keys, in 20 bytes or less each.
+// EncodeHomes encodes homes of keys, in at most 20 bytes each.
 func EncodeHomes(list []assigner.Assignment) ([]byte, error) {
 	body, err := proto.Marshal(homesOf(list))
 	return body, eris.Wrap(err, "homes of keys")
 }
 
-// DecodeHomes reads what EncodeHomes packed.
+// DecodeHomes decodes homes of keys encoded by EncodeHomes.
 func DecodeHomes(body []byte) ([]assigner.Assignment, error) {
 	var m Homes
 	if err := proto.Unmarshal(body, &m); err != nil {
@@ -33,6 +33,8 @@
 	return m
 }
 
+// assignments returns the homes in a message. If its lists differ in length, the shortest
+// counts.
 func assignments(m *Homes) []assigner.Assignment {
 	n := min(len(m.Keys), len(m.Upstreams), len(m.Versions))
 	list := make([]assigner.Assignment, n)
--- /dev/null
+++ b/internal/process/heartbeater/leader.go
@@ -0,0 +1,111 @@
+package heartbeater
+
+import (
+	"github.com/gullvale/gullvale/pkg/hasher"
+	"github.com/gullvale/gullvale/pkg/timekeeper"
+)
+
+// Leads reports whether this member considers itself the leader of its region.
+func (b *Beater) Leads() bool {
+	self := b.Self()
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	return b.leader(self) == nil
+}
+
+// Lead returns the name of the member, possibly this one, that this one considers the leader
+// of its region, and whether that member recently sent a heartbeat as the leader.
+func (b *Beater) Lead() (name string, heard bool) {
+	self := b.Self()
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	if k := b.leader(self); k != nil {
+		return k.Name, b.following(self)
+	}
+	return self.Name, true
+}
+
+// Led reports whether another member leads the region, recently sent a heartbeat as the
+// leader, and is up to date with the store.
+func (b *Beater) Led() bool {
+	self := b.Self()
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	k := b.leader(self)
+	return k != nil && k.Reaching && b.following(self) && b.Clock.Now()-k.storeResponded < maxStoreAge
+}
+
+// Fresh returns the time since the store last responded to the leader that this member
+// follows. The result is false if it follows none.
+func (b *Beater) Fresh() (timekeeper.Millis, bool) {
+	self := b.Self()
+	b.lock.Lock()
+	defer b.lock.Unlock()
+	if !b.following(self) {
+		return 0, false
+	}
+	return b.Clock.Now() - b.leader(self).storeResponded, true
+}
+
+// following reports whether another member leads and recently sent a heartbeat as the
+// leader. The caller must hold the lock.
+func (b *Beater) following(self Member) bool {
+	k := b.leader(self)
+	return k != nil && b.Clock.Now()-k.lastLeading < leaderTimeout
+}
+
+// betterLeader returns the leader of the region if the sender k of a heartbeat follows no leader or
+// another one, and nil if this member knows no better leader. In this way a former leader
+// redirects members that still follow it. The caller must hold the lock.
+func (b *Beater) betterLeader(m *Beat, k *knownMember, self Member) *Row {
+	now := b.Clock.Now()
+	leader := b.leader(self)
+	if leader == nil || leader == k || now-leader.lastLeading > leaderTimeout {
+		return nil
+	}
+	if m.Following && (m.Lead == leader.Name || m.Lead == "") {
+		return nil
+	}
+	return row(leader.Member, now-leader.lastAlive)
+}
+
+// leader returns the leader of the region of self, or nil if it is self. Members that don't
+// reach the store come last in the order, and leaving ones come after those that stay. The
+// caller must hold the lock.
+func (b *Beater) leader(self Member) *knownMember {
+	best := b.best(self.Site.Region())
+	if best != nil && precedes(best.Member, best.nameHash, self, hasher.OfString(self.Name)) {
+		return best
+	}
+	return nil
+}
+
+// best returns the first other member of a region in the leader order, or nil if none is
+// known to be alive within leaderTimeout. The caller must hold the lock.
+func (b *Beater) best(region string) *knownMember {
+	now := b.Clock.Now()
+	var best *knownMember
+	for _, k := range b.members {
+		if k.Site.Region() != region || now-max(k.lastAlive, k.confirmed) > leaderTimeout {
+			continue
+		}
+		if best == nil || precedes(k.Member, k.nameHash, best.Member, best.nameHash) {
+			best = k
+		}
+	}
+	return best
+}
+
+// precedes reports whether x comes before y in the leader order. xo and yo break ties.
+func precedes(x Member, xo hasher.Hash, y Member, yo hasher.Hash) bool {
+	if x.Reaching != y.Reaching {
+		return x.Reaching
+	}
+	if x.Leaving != y.Leaving {
+		return y.Leaving
+	}
+	if x.Strength != y.Strength {
+		return x.Strength > y.Strength
+	}
+	return xo < yo
+}
--- a/internal/process/heartbeater/limits.go
+++ b/internal/process/heartbeater/limits.go
@@ -8,10 +8,10 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// census is a limiter.Census that is being made.
+// census is a limiter.Census under construction.
 type census limiter.Census
 
-// Census returns what this member knows of those who share limits with it.
+// Census returns what this member knows of the members that share limits with it.
 func (b *Beater) Census() limiter.Census {
 	return limiter.Census(b.census())
 }
@@ -23,11 +23,11 @@
 	defer b.lock.Unlock()
 	c := census{Known: 1, Near: 1}
 	hears := false
-	best := map[string]*known{}
+	best := map[string]*knownMember{}
 	for _, k := range b.members {
-		lives := now-max(k.heard, k.vouched) < leadSilence
+		lives := now-max(k.lastAlive, k.confirmed) < leaderTimeout
 		if k.Leaving && !lives {
-			continue // it ended in order and sends nothing any more
+			continue // it shut down in order and sends nothing any more
 		}
 		c.Known++
 		hears = hears || lives
@@ -38,19 +38,19 @@
 		if r == self.Site.Region() {
 			c.Near++
 		}
-		if l := best[r]; l == nil || countsBefore(k.Member, k.order, l.Member, l.order) {
+		if l := best[r]; l == nil || allocatesBefore(k.Member, k.nameHash, l.Member, l.nameHash) {
 			best[r] = k
 		}
 	}
 	c.Alone = c.Known > 1 && !hears
-	c.place(self, best)
+	c.setAllocators(self, best)
 	return c
 }
 
-// place says who counts, of the best members of each region.
-func (c *census) place(self Member, best map[string]*known) {
+// setAllocators sets the limit allocators of all regions, given the best other member of each.
+func (c *census) setAllocators(self Member, best map[string]*knownMember) {
 	own := self.Site.Region()
-	if l := best[own]; l != nil && countsBefore(l.Member, l.order, self, hasher.OfString(self.Name)) {
+	if l := best[own]; l != nil && allocatesBefore(l.Member, l.nameHash, self, hasher.OfString(self.Name)) {
 		c.Counter = l.Beats
 	}
 	c.Counts = c.Counter == ""
@@ -62,11 +62,12 @@
 	slices.Sort(c.Others)
 }
 
-// countsBefore orders members by who counts for limits. To count needs no store: while it is
-// away, members differ in who still reaches it, and so in who leads.
-func countsBefore(x Member, xo hasher.Hash, y Member, yo hasher.Hash) bool {
+// allocatesBefore reports whether x is preferred to y as limit allocator. Unlike the leader
+// order, it ignores who reaches the store: allocation needs no store, and during an outage of
+// the store members disagree on who reaches it and so on who leads.
+func allocatesBefore(x Member, xo hasher.Hash, y Member, yo hasher.Hash) bool {
 	x.Reaching, y.Reaching = true, true
-	return before(x, xo, y, yo)
+	return precedes(x, xo, y, yo)
 }
 
 // SendLimit sends a message about limits.
--- a/internal/process/heartbeater/limits_test.go
+++ b/internal/process/heartbeater/limits_test.go
@@ -6,30 +6,30 @@
 	"github.com/matryer/is"
 )
 
-// With the store out, some VMs noticed it a second before others, took each other for the lead
-// by turns, and none of them counted for limits: on a record, 1,900 requests in two seconds
-// were refused since the use of their organisations' limits was not known. Who counts does not
-// hang on who reaches the store.
+// In an outage of the store, members notice it up to a second apart and disagree on the leader.
+// If the limit allocator depended on who reaches the store, no member might be one: in a recorded
+// run, 1,900 requests in two seconds were refused because the use of their organisations' limits
+// was unknown.
 func TestWhoCountsWithoutStore(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
-	fleet(n, 24)
+	addFleet(n, 24)
 	n.rounds(12)
-	before := n.counting()
+	before := n.allocators()
 	is.Equal(len(before), 3)
 	for i, name := range n.names() {
 		n.members[name].self.Reaching = i%2 == 0
 		n.rounds(1)
-		is.Equal(n.counting(), before)
+		is.Equal(n.allocators(), before)
 	}
 }
 
-// TestCensus has a member be cut off: the others count with its part missing, and it knows
-// that it is alone.
+// TestCensus cuts off a member. The others still count it as known but no longer as near, and the
+// member itself reports that it is alone.
 func TestCensus(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
-	fleet(n, 24)
+	addFleet(n, 24)
 	n.rounds(12)
 	first, last := n.members["m00"], n.members["m20"]
 	c := first.Census()
@@ -45,8 +45,8 @@
 	is.True(last.Census().Alone)
 }
 
-// counting returns the members that take themselves for those who count.
-func (n *network) counting() (names []string) {
+// allocators returns the members that consider themselves limit allocators.
+func (n *network) allocators() (names []string) {
 	for _, name := range n.names() {
 		if c := n.members[name].Census(); c.Counts && !c.Alone {
 			names = append(names, name)
--- a/internal/process/heartbeater/member.go
+++ b/internal/process/heartbeater/member.go
@@ -6,46 +6,46 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// lives tells whether the member is taken for living.
-func (k *known) lives(now timekeeper.Millis) bool {
-	return now-max(k.heard, k.vouched) < GoneAfter
+// isAlive reports whether the member is considered alive.
+func (k *knownMember) isAlive(now timekeeper.Millis) bool {
+	return now-max(k.lastAlive, k.confirmed) < MemberTimeout
 }
 
-// expire takes all members for gone that were not heard directly, since a table of
-// the living follows. The caller holds the lock.
-func (b *Beater) expire(now timekeeper.Millis) {
+// expireUnheard marks all members as dead that sent no heartbeat to this one within MemberTimeout. It
+// is called before a full table of living members is recorded. The caller must hold the lock.
+func (b *Beater) expireUnheard(now timekeeper.Millis) {
 	for _, k := range b.members {
-		if now-k.direct >= GoneAfter || k.direct == 0 {
-			k.heard = min(k.heard, now-GoneAfter)
-			k.vouched = k.heard
+		if now-k.lastHeartbeat >= MemberTimeout || k.lastHeartbeat == 0 {
+			k.lastAlive = min(k.lastAlive, now-MemberTimeout)
+			k.confirmed = k.lastAlive
 		}
 	}
 }
 
-// vouch takes the lead's word that all whom this member takes for living live. The
-// caller holds the lock.
-func (b *Beater) vouch(now timekeeper.Millis) {
+// confirmLiveness records the leader's liveness confirmation for all members that this one considers
+// alive. The caller must hold the lock.
+func (b *Beater) confirmLiveness(now timekeeper.Millis) {
 	for _, k := range b.members {
-		if k.lives(now) {
-			k.vouched = now
+		if k.isAlive(now) {
+			k.confirmed = now
 		}
 	}
 }
 
-// digest stands for the members that live and what they say of themselves. A lead
-// counts only whom it heard. The caller holds the lock.
+// digest returns a digest of the living members and their states. A leader ignores liveness
+// confirmations. The caller must hold the lock.
 func (b *Beater) digest(leading bool) uint64 {
 	now := b.Clock.Now()
-	d := digestOf(b.self)
+	d := memberDigest(b.self)
 	for _, k := range b.members {
-		if now-k.heard < GoneAfter || !leading && k.lives(now) {
-			d ^= digestOf(k.Member)
+		if now-k.lastAlive < MemberTimeout || !leading && k.isAlive(now) {
+			d ^= memberDigest(k.Member)
 		}
 	}
 	return uint64(d)
 }
 
-func digestOf(m Member) hasher.Hash {
+func memberDigest(m Member) hasher.Hash {
 	state := hasher.Hash(m.Incarnation)
 	for _, flag := range []bool{m.Ready, m.Leaving, m.Reaching} {
 		state <<= 1
@@ -56,38 +56,40 @@
 	return hasher.Mix(hasher.OfString(m.Name), state)
 }
 
-// note records that a member lived at some moment. The caller holds the lock.
-func (b *Beater) note(r *Row, heard timekeeper.Millis) *known {
+// recordRow records that a member was alive at a time and returns it, or nil if it is this member or
+// has no name. The caller must hold the lock.
+func (b *Beater) recordRow(r *Row, lastAlive timekeeper.Millis) *knownMember {
 	if r.Name == "" || r.Name == b.self.Name {
 		return nil
 	}
 	k := b.members[r.Name]
 	if k == nil {
-		return b.put(memberOf(r), heard)
+		return b.insert(memberOf(r), lastAlive)
 	}
-	if heard >= k.heard {
+	if lastAlive >= k.lastAlive {
 		delete(b.sites, k.Beats)
-		k.Member, k.heard = memberOf(r), heard
+		k.Member, k.lastAlive = memberOf(r), lastAlive
 		b.sites[k.Beats] = k.Site
 	}
 	return k
 }
 
-func (b *Beater) put(m Member, heard timekeeper.Millis) *known {
+func (b *Beater) insert(m Member, lastAlive timekeeper.Millis) *knownMember {
 	if b.members == nil {
-		b.members = map[string]*known{}
+		b.members = map[string]*knownMember{}
 		b.sites = map[string]registrar.Site{}
 	}
-	k := &known{Member: m, order: hasher.OfString(m.Name), heard: heard}
+	k := &knownMember{Member: m, nameHash: hasher.OfString(m.Name), lastAlive: lastAlive}
 	b.members[m.Name] = k
 	b.sites[m.Beats] = m.Site
 	return k
 }
 
-func (b *Beater) forget() {
+// removeSilent removes members that have been silent for forgetTimeout. The caller must hold the lock.
+func (b *Beater) removeSilent() {
 	now := b.Clock.Now()
 	for n, k := range b.members {
-		if now-max(k.heard, k.vouched) > forgetAfter {
+		if now-max(k.lastAlive, k.confirmed) > forgetTimeout {
 			delete(b.members, n)
 			delete(b.sites, k.Beats)
 		}
--- a/internal/process/heartbeater/relay.go
+++ b/internal/process/heartbeater/relay.go
@@ -4,11 +4,11 @@
 	"github.com/gullvale/gullvale/internal/request/assigner"
 )
 
-// Relay hands changes on to the other members of the region if this one leads.
+// Relay sends changes to the other members of the region if this one leads it.
 func (b *Beater) Relay(c Changes) {
 	self := b.Self()
 	b.lock.Lock()
-	if b.lead(self) != nil {
+	if b.leader(self) != nil {
 		b.lock.Unlock()
 		return
 	}
@@ -17,21 +17,22 @@
 	b.send(to, &Datagram{Relay: relayOf(c)})
 }
 
-// Ask asks the lead of the region for what was missed, and tells whether there is
-// one.
+// Ask asks the leader of the region for the changes of a kind after a revision. It reports
+// false if this member leads itself.
 func (b *Beater) Ask(kind string, from uint64) bool {
 	self := b.Self()
 	b.lock.Lock()
-	lead := b.lead(self)
+	leader := b.leader(self)
 	b.lock.Unlock()
-	if lead == nil {
+	if leader == nil {
 		return false
 	}
-	b.send([]string{lead.Beats}, &Datagram{Ask: &Ask{Kind: kind, From: from, Beats: self.Beats}})
+	b.send([]string{leader.Beats}, &Datagram{Ask: &Ask{Kind: kind, From: from, Beats: self.Beats}})
 	return true
 }
 
-func (b *Beater) asked(m *Ask) {
+// handleAsk sends the changes that a member asked for.
+func (b *Beater) handleAsk(m *Ask) {
 	if b.Missed == nil {
 		return
 	}
@@ -47,7 +48,7 @@
 	return &Relay{Kind: c.Kind, From: c.From, To: c.To, Changes: c.Body}
 }
 
-// Announce tells the other members of the region where keys live.
+// Announce sends homes of keys to the other members of the region.
 func (b *Beater) Announce(list []assigner.Assignment) {
 	self := b.Self()
 	b.lock.Lock()
@@ -56,23 +57,23 @@
 	b.send(to, &Datagram{Homes: homesOf(list)})
 }
 
-// everywhere sends a datagram to the other members of this region, and another one to the
-// leads of the others, which is to ask them to pass it on.
-func (b *Beater) everywhere(self Member, near, far *Datagram) {
+// broadcast sends near to the other members of this region, and far to the first members of
+// the other regions. far must ask them to forward it.
+func (b *Beater) broadcast(self Member, near, far *Datagram) {
 	b.lock.Lock()
-	to, toFar := b.region(self.Site.Region()), b.elsewhere(self.Site.Region())
+	to, toFar := b.region(self.Site.Region()), b.remoteTargets(self.Site.Region())
 	b.lock.Unlock()
 	b.send(to, near)
 	b.send(toFar, far)
 }
 
-// passOn sends a datagram from another region to the members of this one if this member
+// forward forwards a datagram from another region to the members of this one if this member
 // leads it.
-func (b *Beater) passOn(d *Datagram) {
+func (b *Beater) forward(d *Datagram) {
 	self := b.Self()
 	b.lock.Lock()
 	var to []string
-	if b.lead(self) == nil {
+	if b.leader(self) == nil {
 		to = b.region(self.Site.Region())
 	}
 	b.lock.Unlock()
--- a/internal/process/heartbeater/start_test.go
+++ b/internal/process/heartbeater/start_test.go
@@ -14,17 +14,19 @@
 )
 
 const (
-	// nearDelay and farDelay are one way, within a region and between two, in ms.
+	// nearDelay and farDelay are the one-way delays within a region and between two, in ms.
 	nearDelay = 1
 	farDelay  = 35
-	// startSpread is within how long all members start, in ms.
+	// startSpread is the time within which all members start, in ms.
 	startSpread = 300
-	// queueMillis is how long a datagram may wait at its sender's link before it is lost.
+	// queueMillis is the longest time that a datagram may wait at its sender's link. It is
+	// dropped if it would wait longer.
 	queueMillis = 100
 )
 
 type (
-	// event is something that happens at a moment.
+	// event is a function to run at a point in simulated time. order keeps events with the
+	// same time in the order in which they were added.
 	event struct {
 		at    timekeeper.Millis
 		order int
@@ -33,8 +35,8 @@
 
 	events []event
 
-	// timedNetwork delivers datagrams after the delay between two sites, behind those that
-	// already wait at the sender's link.
+	// timedNetwork delivers datagrams after the transmission time at the sender's link, where
+	// they queue, and the delay between the two regions.
 	timedNetwork struct {
 		now     timekeeper.Millis
 		queue   events
@@ -48,14 +50,15 @@
 	timedMember struct {
 		*heartbeater.Beater
 		self    heartbeater.Member
-		began   timekeeper.Millis
+		startAt timekeeper.Millis
 		started bool
-		// bytesPerMilli is the width of the link, freeAt when it is idle again, in µs.
+		// bytesPerMilli is the bandwidth of the link, freeAt the time at which it is idle
+		// again, in µs.
 		bytesPerMilli int
 		freeAt        int64
 		dead          bool
-		// lists is how long the store takes to answer, in ms.
-		lists timekeeper.Millis
+		// storeDelay is the response time of the store, in ms.
+		storeDelay timekeeper.Millis
 	}
 )
 
@@ -94,15 +97,15 @@
 	n.now = t
 }
 
-// newTimedNetwork builds a fleet of three regions in which each eleventh member is strong
-// and has a wide link. The store is in the first region.
+// newTimedNetwork builds a fleet of three regions in which every eleventh member has a strong
+// VM and a fast link. The store is in the first region.
 func newTimedNetwork(size int, seed uint64) *timedNetwork {
 	n := &timedNetwork{members: map[string]*timedMember{}, random: rand.New(rand.NewPCG(seed, seed))}
 	for i := range size {
 		region := []string{"east", "west", "north"}[i%3]
 		site := registrar.Site(fmt.Sprintf("%s/%s-%d", region, region, i/3%3))
 		name := fmt.Sprintf("v%03d", n.random.IntN(1000)+1000*i)
-		m := &timedMember{bytesPerMilli: 20 * 125, lists: 10, began: timekeeper.Millis(n.random.IntN(startSpread))}
+		m := &timedMember{bytesPerMilli: 20 * 125, storeDelay: 10, startAt: timekeeper.Millis(n.random.IntN(startSpread))}
 		m.self = heartbeater.Member{
 			Name: name, Incarnation: n.random.Uint64(), Site: site, Ready: false, Strength: 80,
 			Front: "10.0.0.1:8161", Beats: name,
@@ -111,7 +114,7 @@
 			m.self.Strength, m.bytesPerMilli = 800, 200*125
 		}
 		if region != "east" {
-			m.lists += 2 * farDelay
+			m.storeDelay += 2 * farDelay
 		}
 		n.add(m)
 	}
@@ -147,7 +150,8 @@
 	})
 }
 
-// start lets all members start, register in the store and learn of those there.
+// start schedules for each member its start, its registration in the store and its reading of
+// the members registered there, as a list that is staleBy old.
 func (n *timedNetwork) start(staleBy timekeeper.Millis) {
 	registered := map[string]timekeeper.Millis{}
 	seeds := n.random.Perm(len(n.names))[:3]
@@ -156,15 +160,15 @@
 		for _, s := range seeds {
 			m.Seeds = append(m.Seeds, n.names[s])
 		}
-		n.at(m.began, func() {
+		n.at(m.startAt, func() {
 			m.started = true
 			n.beat(m)
 		})
-		n.at(m.began+m.lists, func() {
+		n.at(m.startAt+m.storeDelay, func() {
 			registered[name] = n.now
 			m.self.Reaching = true
 		})
-		n.at(m.began+2*m.lists, func() {
+		n.at(m.startAt+2*m.storeDelay, func() {
 			for _, other := range n.names {
 				at, known := registered[other]
 				if known && at <= n.now-staleBy {
@@ -173,7 +177,7 @@
 				}
 			}
 		})
-		n.at(m.began+400+timekeeper.Millis(n.random.IntN(1200)), func() { m.self.Ready = true })
+		n.at(m.startAt+400+timekeeper.Millis(n.random.IntN(1200)), func() { m.self.Ready = true })
 	}
 }
 
@@ -185,9 +189,9 @@
 	n.at(n.now+round, func() { n.beat(m) })
 }
 
-// strays returns the members of a region beyond its first lead that neither follow nor are
-// told of changes by a lead: each of them watches the store by itself.
-func (n *timedNetwork) strays(region string) (strays int) {
+// withoutLeader returns the number of members of a region without a leader to relay changes to
+// them, each of which watches the store itself. Leaders after the first count too.
+func (n *timedNetwork) withoutLeader(region string) (withoutLeader int) {
 	leads := 0
 	for _, m := range n.members {
 		switch {
@@ -195,28 +199,29 @@
 		case m.Leads():
 			leads++
 		case !m.Led():
-			strays++
+			withoutLeader++
 		}
 	}
 	if leads > 1 {
-		strays += leads - 1
+		withoutLeader += leads - 1
 	}
-	return strays
+	return withoutLeader
 }
 
-// mostStrays returns the most strays of a region at any look within a time.
-func (n *timedNetwork) mostStrays(until timekeeper.Millis) (most int) {
+// maxWithoutLeader returns the highest number of members without a leader in any region, sampled five
+// times a round until a time.
+func (n *timedNetwork) maxWithoutLeader(until timekeeper.Millis) (most int) {
 	for n.now < until {
 		n.runUntil(n.now + round/5)
 		for _, r := range []string{"east", "west", "north"} {
-			most = max(most, n.strays(r))
+			most = max(most, n.withoutLeader(r))
 		}
 	}
 	return most
 }
 
-// Members take one for the lead that then learns of a better one and leads no more. Each
-// must hear of the better one before it takes itself for the lead.
+// While a fleet starts, members may follow a leader that then learns of a better one and steps
+// down. Each must hear of the better one before it considers itself the leader.
 func TestStartOfAllHasOneLeadARegion(t *testing.T) {
 	runs := map[int]uint64{9: 10, 100: 4, 295: 1}
 	for size, seeds := range runs {
@@ -227,24 +232,25 @@
 					n := newTimedNetwork(size, seed)
 					n.start(staleBy)
 					n.runUntil(startSpread + 1500)
-					is.Equal(n.mostStrays(8000), 0)
+					is.Equal(n.maxWithoutLeader(8000), 0)
 				})
 			}
 		}
 	}
 }
 
-// Whoever misses two heartbeats of the lead in a row may be on its own until the next.
+// A member that misses two heartbeats of the leader in a row may be without a leader until the
+// next one.
 func TestLossLeavesFewStrays(t *testing.T) {
 	is := is.New(t)
 	n := newTimedNetwork(100, 1)
 	n.loss = 0.01
 	n.start(0)
 	n.runUntil(startSpread + 3000)
-	is.True(n.mostStrays(20000) <= 2)
+	is.True(n.maxWithoutLeader(20000) <= 2)
 }
 
-// The next in the order takes over when the lead dies, for the whole region at once.
+// When a leader dies, the next member in the order takes over for the whole region at once.
 func TestDeathOfALeadLeavesNoStrays(t *testing.T) {
 	is := is.New(t)
 	n := newTimedNetwork(100, 1)
@@ -254,7 +260,7 @@
 		m := n.members[name]
 		m.dead = m.self.Site.Region() == "west" && m.Leads()
 	}
-	// Three heartbeats of silence, and two more until the next one leads and is heard.
+	// Three heartbeats of silence, and two more until the next leader is heard.
 	n.runUntil(7700)
-	is.Equal(n.mostStrays(15000), 0)
+	is.Equal(n.maxWithoutLeader(15000), 0)
 }
--- a/internal/process/heartbeater/suspects_test.go
+++ b/internal/process/heartbeater/suspects_test.go
@@ -13,10 +13,10 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-var deadly = quarantiner.Content{Target: "/deadly"}.Fingerprint()
+var crashing = quarantiner.Content{Target: "/deadly"}.Fingerprint()
 
-// watchful gives a member a quarantine that tells the others at once.
-func (n *network) watchful(m *member) *quarantiner.Quarantiner {
+// addQuarantine gives a member a quarantine whose changes are collected for announce.
+func (n *network) addQuarantine(m *member) *quarantiner.Quarantiner {
 	m.Quarantine = &quarantiner.Quarantiner{
 		Clock:   timekeeper.Clock{Monotonic: func() timekeeper.Millis { return n.now }},
 		Changed: func(c quarantiner.Change) { m.found = append(m.found, c.Now) },
@@ -24,7 +24,7 @@
 	return m.Quarantine
 }
 
-// announce tells what the members found out.
+// announce has the members announce the suspects they found.
 func (n *network) announce() {
 	for _, name := range n.names() {
 		m := n.members[name]
@@ -35,20 +35,21 @@
 	}
 }
 
-// crash runs the deadly request at a member, which it does unless it is barred there.
-func (m *member) crash() {
-	if s := m.Quarantine.Look(deadly, quarantiner.Sighting{}); !s.Barred {
+// reportCrash reports a crash caused by the crashing request at a member, unless the request is
+// barred there.
+func (m *member) reportCrash() {
+	if s := m.Quarantine.Look(crashing, quarantiner.Sighting{}); !s.Barred {
 		m.Quarantine.Crashed(s)
 	}
 }
 
-func (m *member) bars() bool {
-	return m.Quarantine.Look(deadly, quarantiner.Sighting{}).Barred
+func (m *member) barsRequest() bool {
+	return m.Quarantine.Look(crashing, quarantiner.Sighting{}).Barred
 }
 
-// TestSuspectsReachAll has one run at each of three members of different regions crash its
-// upstream. Without losses all members know before the next heartbeat, with one datagram of
-// three lost within the 4 s after which the platform counts on it.
+// TestSuspectsReachAll has one request crash an upstream at each of three members in different
+// regions. Without loss, all members must bar it before the next heartbeat; with one datagram
+// in three lost, within the 4 s that the platform relies on.
 func TestSuspectsReachAll(t *testing.T) {
 	for _, size := range []int{9, 60, 295} {
 		for _, loss := range []float64{0, 0.33} {
@@ -57,7 +58,7 @@
 				n := newNetwork()
 				for i := range size {
 					name := fmt.Sprintf("m%02d", i)
-					n.watchful(n.add(name, registrar.Site(fmt.Sprint("r", i%3, "/d", i%2)), "m00", "m01", "m02"))
+					n.addQuarantine(n.add(name, registrar.Site(fmt.Sprint("r", i%3, "/d", i%2)), "m00", "m01", "m02"))
 				}
 				n.rounds(10)
 				n.loss = loss
@@ -70,14 +71,14 @@
 					}
 				}
 				for i := range 3 {
-					n.members[fmt.Sprintf("m%02d", i)].crash()
+					n.members[fmt.Sprintf("m%02d", i)].reportCrash()
 					n.announce()
 				}
 				told := sent
 				late := 0
-				for ; !n.allBar(); late++ {
+				for ; !n.barredByAll(); late++ {
 					is.True(late*round < 4000)
-					n.members["m00"].crash() // a member that missed one would crash more
+					n.members["m00"].reportCrash() // a member that missed an announcement would crash again
 					n.announce()
 					n.rounds(1)
 				}
@@ -88,23 +89,23 @@
 	}
 }
 
-func (n *network) allBar() bool {
+func (n *network) barredByAll() bool {
 	for _, m := range n.members {
-		if !m.dead && !m.bars() {
+		if !m.dead && !m.barsRequest() {
 			return false
 		}
 	}
 	return true
 }
 
-// TestSuspectsAreToldToLateMembers has a member start, and one return that was cut off with
-// an old view, after a request came into quarantine and another was cleared.
+// TestSuspectsAreToldToLateMembers starts a member, and reconnects one with an outdated view,
+// after one request was quarantined and another cleared. Both must catch up.
 func TestSuspectsAreToldToLateMembers(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	other := quarantiner.Content{Target: "/other"}.Fingerprint()
 	for i := range 6 {
-		n.watchful(n.add(fmt.Sprintf("m%02d", i), registrar.Site(fmt.Sprint("r", i%2, "/d")), "m00", "m01"))
+		n.addQuarantine(n.add(fmt.Sprintf("m%02d", i), registrar.Site(fmt.Sprint("r", i%2, "/d")), "m00", "m01"))
 	}
 	n.rounds(10)
 	suspect := n.members["m02"].Quarantine
@@ -112,16 +113,16 @@
 	n.announce()
 	n.members["m05"].dead = true
 	for range 3 {
-		n.members["m01"].crash()
+		n.members["m01"].reportCrash()
 		n.announce()
 	}
 	n.members["m00"].Quarantine.Answered(other)
 	n.announce()
 	n.rounds(4)
 	n.members["m05"].dead = false
-	n.watchful(n.add("m06", "r1/d", "m00"))
+	n.addQuarantine(n.add("m06", "r1/d", "m00"))
 	n.rounds(4)
-	is.True(n.allBar())
+	is.True(n.barredByAll())
 	for _, name := range n.names() {
 		is.Equal(n.members[name].Quarantine.Digest(), n.members["m00"].Quarantine.Digest())
 		is.True(!slices.ContainsFunc(n.members[name].Quarantine.All(), func(s quarantiner.Suspect) bool { return s.Fingerprint == other }))
--- a/internal/process/heartbeater/target.go
+++ b/internal/process/heartbeater/target.go
@@ -5,48 +5,51 @@
 	"slices"
 )
 
-// upward returns where the heartbeats of a member go that does not lead.
-func (b *Beater) upward(region string) []string {
-	first := b.first(region, heardBy)
+// memberTargets returns the addresses that a member sends its heartbeats to while it does not lead.
+// They include discovery addresses if it hears no leader.
+func (b *Beater) memberTargets(region string) []string {
+	first := b.first(region, heartbeatTargets)
 	now := b.Clock.Now()
 	for _, k := range b.members {
-		if now-k.leading < leadSilence && k.Site.Region() == region {
+		if now-k.lastLeading < leaderTimeout && k.Site.Region() == region {
 			return first
 		}
 	}
-	return append(first, b.search()...)
+	return append(first, b.discoveryTargets()...)
 }
 
-// searched is all of the region and the seeds, and some others while nobody is heard. Two
-// leads of a region whose members do not know each other meet at a seed.
-func (b *Beater) searched(region string) []string {
-	to := append(b.region(region), b.seeds()...)
+// leaderTargets returns the addresses that a leader sends its heartbeats to: its region and the
+// seeds, and discovery addresses while it hears no member. Two leaders of a region whose members
+// don't know each other discover each other through a seed.
+func (b *Beater) leaderTargets(region string) []string {
+	to := append(b.region(region), b.seedTargets()...)
 	now := b.Clock.Now()
 	for _, k := range b.members {
-		if now-k.direct < GoneAfter && k.direct > 0 {
+		if now-k.lastHeartbeat < MemberTimeout && k.lastHeartbeat > 0 {
 			return to
 		}
 	}
-	return append(to, b.search()...)
+	return append(to, b.discoveryTargets()...)
 }
 
-// seeds returns the seeds but for this member.
-func (b *Beater) seeds() []string {
+// seedTargets returns the seeds except this member.
+func (b *Beater) seedTargets() []string {
 	return slices.DeleteFunc(slices.Clone(b.Seeds), func(s string) bool { return s == b.self.Beats })
 }
 
-// search returns a few addresses at random, for a member that hears nobody.
-func (b *Beater) search() []string {
-	to := b.seeds()
+// discoveryTargets returns up to maxDiscoveryTargets random addresses of seeds and known members, for a member
+// that hears no other.
+func (b *Beater) discoveryTargets() []string {
+	to := b.seedTargets()
 	for _, k := range b.members {
 		to = append(to, k.Beats)
 	}
 	rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
-	return to[:min(len(to), searchSize)]
+	return to[:min(len(to), maxDiscoveryTargets)]
 }
 
-// region returns the addresses of the other members of a region that were heard
-// within the time of forgetting.
+// region returns the addresses of the other members of a region, including those that have
+// been silent for less than forgetTimeout.
 func (b *Beater) region(region string) (to []string) {
 	for _, k := range b.members {
 		if k.Site.Region() == region {
@@ -56,8 +59,8 @@
 	return to
 }
 
-// elsewhere returns the first members of each other region.
-func (b *Beater) elsewhere(region string) (to []string) {
+// remoteTargets returns the addresses of the first members of each other region.
+func (b *Beater) remoteTargets(region string) (to []string) {
 	regions := map[string]bool{}
 	for _, k := range b.members {
 		regions[k.Site.Region()] = true
@@ -66,29 +69,28 @@
 		if r == region {
 			continue
 		}
-		first := b.first(r, leadsElsewhere)
+		first := b.first(r, targetsPerRegion)
 		if len(first) == 0 {
-			// Nobody there is known to live: try whoever was once named.
+			// No member there is known to be alive: try any that was.
 			first = b.region(r)
-			first = first[:min(len(first), leadsElsewhere)]
+			first = first[:min(len(first), targetsPerRegion)]
 		}
 		to = append(to, first...)
 	}
 	return to
 }
 
-// first returns the addresses of the first n living members of a region in the
-// order in which they lead.
+// first returns the addresses of the first n living members of a region in the leader order.
 func (b *Beater) first(region string, n int) (to []string) {
 	now := b.Clock.Now()
-	var l []*known
+	var l []*knownMember
 	for _, k := range b.members {
-		if k.Site.Region() == region && k.lives(now) {
+		if k.Site.Region() == region && k.isAlive(now) {
 			l = append(l, k)
 		}
 	}
-	slices.SortFunc(l, func(x, y *known) int {
-		if before(x.Member, x.order, y.Member, y.order) {
+	slices.SortFunc(l, func(x, y *knownMember) int {
+		if precedes(x.Member, x.nameHash, y.Member, y.nameHash) {
 			return -1
 		}
 		return 1
--- a/internal/process/heartbeater/ended.go
+++ b/internal/process/heartbeater/terminated.go
@@ -5,22 +5,24 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// AnnounceEnded tells the other members of all regions of an upstream that has ended.
+// AnnounceEnded announces a terminated incarnation of an upstream to the other members of
+// all regions.
 func (b *Beater) AnnounceEnded(i cataloger.Incarnation) {
 	m := &Ended{Upstreams: []string{string(i.ID)}, Born: []int64{int64(i.Born)}}
 	far := &Ended{Upstreams: m.Upstreams, Born: m.Born, PassOn: true}
-	b.everywhere(b.Self(), &Datagram{Ended: m}, &Datagram{Ended: far})
+	b.broadcast(b.Self(), &Datagram{Ended: m}, &Datagram{Ended: far})
 }
 
-// endedHeard takes what another member announced, and passes it on as a lead is asked to.
-func (b *Beater) endedHeard(m *Ended) {
+// handleEnded handles an announcement of terminated upstreams and, if asked to, forwards it to
+// the members of this region.
+func (b *Beater) handleEnded(m *Ended) {
 	if b.Ended != nil {
 		for _, i := range incarnations(m) {
 			b.Ended(i)
 		}
 	}
 	if m.PassOn {
-		b.passOn(&Datagram{Ended: &Ended{Upstreams: m.Upstreams, Born: m.Born}})
+		b.forward(&Datagram{Ended: &Ended{Upstreams: m.Upstreams, Born: m.Born}})
 	}
 }
 
--- a/internal/process/heartbeater/traffic.go
+++ b/internal/process/heartbeater/traffic.go
@@ -20,7 +20,7 @@
 	// Purpose is what a datagram is for.
 	Purpose string
 
-	// Traffic is bytes between this member and another one.
+	// Traffic counts bytes between this member and another.
 	Traffic struct {
 		Purpose  Purpose
 		Distance registrar.Distance
@@ -50,7 +50,7 @@
 	return UnknownPurpose
 }
 
-// count tells of bytes to or from an address.
+// count reports bytes sent to or received from an address.
 func (b *Beater) count(address string, t Traffic) {
 	if b.Counted == nil {
 		return
@@ -59,7 +59,7 @@
 	b.Counted(t)
 }
 
-// distance is that to the member who takes datagrams at an address.
+// distance returns the distance to the member with a datagram address.
 func (b *Beater) distance(address string) registrar.Distance {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/process/heartbeater/traffic_test.go
+++ b/internal/process/heartbeater/traffic_test.go
@@ -11,29 +11,29 @@
 	"github.com/gullvale/gullvale/pkg/registrar"
 )
 
-// kindOfTraffic tells bytes apart.
-type kindOfTraffic struct {
+// trafficKey is the key by which the test counts bytes.
+type trafficKey struct {
 	purpose  heartbeater.Purpose
 	distance registrar.Distance
 }
 
 // TestDatagramsAreCounted has members in two failure domains of a region and in another
-// region. What is sent is received, by purpose and distance.
+// region. The bytes sent and received must agree by purpose and distance.
 func TestDatagramsAreCounted(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
-	sent, received := map[kindOfTraffic]int64{}, map[kindOfTraffic]int64{}
+	sent, received := map[trafficKey]int64{}, map[trafficKey]int64{}
 	for i, site := range []registrar.Site{"east/a", "east/a", "east/b", "west/a"} {
 		n.add(fmt.Sprintf("m%02d", i), site, "m00", "m01", "m02", "m03").Counted = func(t heartbeater.Traffic) {
-			sent[kindOfTraffic{t.Purpose, t.Distance}] += t.Sent
-			received[kindOfTraffic{t.Purpose, t.Distance}] += t.Received
+			sent[trafficKey{t.Purpose, t.Distance}] += t.Sent
+			received[trafficKey{t.Purpose, t.Distance}] += t.Received
 		}
 	}
 	n.rounds(6)
-	clear(sent) // while they learn of each other, distances are unknown
+	clear(sent) // distances are unknown until the members know each other
 	clear(received)
 	n.rounds(2)
-	lead := n.members[n.leads("east")[0]]
+	lead := n.members[n.leaders("east")[0]]
 	lead.Relay(heartbeater.Changes{Kind: "k", From: 1, To: 2, Body: []byte("changes")})
 	lead.Announce([]assigner.Assignment{{Key: 1, Upstream: 2, Version: 3}})
 	for _, m := range n.members {
@@ -43,11 +43,11 @@
 	}
 	is.Equal(sent, received)
 	for _, p := range []heartbeater.Purpose{heartbeater.BeatPurpose, heartbeater.RelayPurpose, heartbeater.HomesPurpose, heartbeater.AskPurpose} {
-		near := sent[kindOfTraffic{p, registrar.SameDomain}] + sent[kindOfTraffic{p, registrar.SameRegion}]
+		near := sent[trafficKey{p, registrar.SameDomain}] + sent[trafficKey{p, registrar.SameRegion}]
 		is.True(near > 0)
-		is.Equal(sent[kindOfTraffic{p, registrar.OtherRegion}] > 0, p == heartbeater.BeatPurpose)
-		is.Equal(sent[kindOfTraffic{p, registrar.UnknownDistance}], int64(0))
+		is.Equal(sent[trafficKey{p, registrar.OtherRegion}] > 0, p == heartbeater.BeatPurpose)
+		is.Equal(sent[trafficKey{p, registrar.UnknownDistance}], int64(0))
 	}
 	lead.Receive("nobody", []byte("\xff\xff\xff"))
-	is.Equal(received[kindOfTraffic{heartbeater.UnknownPurpose, registrar.UnknownDistance}], int64(3))
+	is.Equal(received[trafficKey{heartbeater.UnknownPurpose, registrar.UnknownDistance}], int64(3))
 }
--- a/internal/process/heartbeater/wire.go
+++ b/internal/process/heartbeater/wire.go
@@ -9,39 +9,41 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// rows describes the living members of a region, of all with "".
+// rows returns the rows of the living members of a region, or of all regions if it is "".
 func (b *Beater) rows(region string) (rows []*Row) {
 	now := b.Clock.Now()
 	for _, k := range b.members {
-		if now-k.heard < GoneAfter && (region == "" || k.Site.Region() == region) {
-			rows = append(rows, row(k.Member, now-k.heard))
+		if now-k.lastAlive < MemberTimeout && (region == "" || k.Site.Region() == region) {
+			rows = append(rows, row(k.Member, now-k.lastAlive))
 		}
 	}
 	return rows
 }
 
-// visitors are the members of other regions that were heard directly: the lead may
-// not know them.
-func (b *Beater) visitors() (rows []*Row) {
+// remoteRows returns the rows of members of other regions that sent this one a heartbeat: the
+// leader may not know them.
+func (b *Beater) remoteRows() (rows []*Row) {
 	now := b.Clock.Now()
 	for _, k := range b.members {
-		if k.Site.Region() != b.self.Site.Region() && k.direct > 0 && now-k.direct < GoneAfter {
-			rows = append(rows, row(k.Member, now-k.direct))
+		if k.Site.Region() != b.self.Site.Region() && k.lastHeartbeat > 0 && now-k.lastHeartbeat < MemberTimeout {
+			rows = append(rows, row(k.Member, now-k.lastHeartbeat))
 		}
 	}
 	return rows
 }
 
-func (b *Beater) marks() (marks []*Mark) {
+func (b *Beater) watermarks() (watermarks []*Mark) {
 	if b.Marks == nil {
 		return nil
 	}
 	for k, r := range b.Marks() {
-		marks = append(marks, &Mark{Kind: k, Revision: r})
+		watermarks = append(watermarks, &Mark{Kind: k, Revision: r})
 	}
-	return marks
+	return watermarks
 }
 
+// send sends a datagram once to each address, with the digest of known suspects if it is a
+// heartbeat.
 func (b *Beater) send(to []string, d *Datagram) {
 	if len(to) == 0 {
 		return
