--- a/internal/process/heartbeater/heartbeater.go
+++ b/internal/process/heartbeater/heartbeater.go
@@ -153,8 +153,8 @@
 		confirmed timekeeper.Millis
 		// lastHeartbeat is when its own last heartbeat was received.
 		lastHeartbeat timekeeper.Millis
-		// lastLeading is when its last heartbeat as a leader was received, and fresh the
-		// time at which, by that heartbeat, the store had last responded to it.
+		// lastLeading is when its last heartbeat as a leader was received, storeResponded
+		// the time at which, by that heartbeat, the store had last responded to it.
 		lastLeading    timekeeper.Millis
 		storeResponded timekeeper.Millis
 	}
--- a/internal/process/heartbeater/member.go
+++ b/internal/process/heartbeater/member.go
@@ -11,8 +11,9 @@
 	return now-max(k.lastAlive, k.confirmed) < MemberTimeout
 }
 
-// expireUnheard marks all members as dead that sent no heartbeat to this one within MemberTimeout. It
-// is called before a full table of living members is recorded. The caller must hold the lock.
+// expireUnheard marks all members as dead that sent no heartbeat to this one within
+// MemberTimeout. It is called before a full table of living members is recorded. The caller
+// must hold the lock.
 func (b *Beater) expireUnheard(now timekeeper.Millis) {
 	for _, k := range b.members {
 		if now-k.lastHeartbeat >= MemberTimeout || k.lastHeartbeat == 0 {
@@ -22,8 +23,8 @@
 	}
 }
 
-// confirmLiveness records the leader's liveness confirmation for all members that this one considers
-// alive. The caller must hold the lock.
+// confirmLiveness records the leader's liveness confirmation for all members that this one
+// considers alive. The caller must hold the lock.
 func (b *Beater) confirmLiveness(now timekeeper.Millis) {
 	for _, k := range b.members {
 		if k.isAlive(now) {
@@ -56,8 +57,8 @@
 	return hasher.Mix(hasher.OfString(m.Name), state)
 }
 
-// recordRow records that a member was alive at a time and returns it, or nil if it is this member or
-// has no name. The caller must hold the lock.
+// recordRow records that a member was alive at a time and returns it, or nil if it is this
+// member or has no name. The caller must hold the lock.
 func (b *Beater) recordRow(r *Row, lastAlive timekeeper.Millis) *knownMember {
 	if r.Name == "" || r.Name == b.self.Name {
 		return nil
@@ -85,7 +86,8 @@
 	return k
 }
 
-// removeSilent removes members that have been silent for forgetTimeout. The caller must hold the lock.
+// removeSilent removes members that have been silent for forgetTimeout. The caller must hold
+// the lock.
 func (b *Beater) removeSilent() {
 	now := b.Clock.Now()
 	for n, k := range b.members {
--- a/internal/process/heartbeater/start_test.go
+++ b/internal/process/heartbeater/start_test.go
@@ -208,8 +208,8 @@
 	return withoutLeader
 }
 
-// maxWithoutLeader returns the highest number of members without a leader in any region, sampled five
-// times a round until a time.
+// maxWithoutLeader returns the highest number of members without a leader in any region,
+// sampled five times a round until a time.
 func (n *timedNetwork) maxWithoutLeader(until timekeeper.Millis) (most int) {
 	for n.now < until {
 		n.runUntil(n.now + round/5)
--- a/internal/process/heartbeater/suspects.go
+++ b/internal/process/heartbeater/suspects.go
@@ -13,8 +13,8 @@
 		&Datagram{Suspects: &Suspects{Packed: packed, Beats: self.Beats, PassOn: true}})
 }
 
-// handleSuspects handles suspects sent by another member, forwards them to this region if asked
-// to, and replies with those that are newer here.
+// handleSuspects records suspects sent by another member, forwards them to the members of this
+// region if asked to, and replies with those that are newer here.
 func (b *Beater) handleSuspects(m *Suspects) {
 	list, err := quarantiner.Unpack(m.Packed)
 	if err != nil || b.Quarantine == nil {
--- a/internal/process/heartbeater/target.go
+++ b/internal/process/heartbeater/target.go
@@ -37,8 +37,8 @@
 	return slices.DeleteFunc(slices.Clone(b.Seeds), func(s string) bool { return s == b.self.Beats })
 }
 
-// discoveryTargets returns up to maxDiscoveryTargets random addresses of seeds and known members, for a member
-// that hears no other.
+// discoveryTargets returns up to maxDiscoveryTargets random addresses of seeds and known
+// members, for a member that hears no other.
 func (b *Beater) discoveryTargets() []string {
 	to := b.seedTargets()
 	for _, k := range b.members {
