--- a/internal/process/joiner/doc.go
+++ b/internal/process/joiner/doc.go
@@ -1,4 +1,4 @@
-// Package joiner keeps a daemon a member of its region: it finds the lead, beats
-// to it, takes the lead when nobody has it, and knows by its own clock whether
-// the daemon may still act as a member.
+// Package joiner maintains a daemon's membership of its region. It finds the leader
+// and sends heartbeats to it, acquires the leader's lease when nobody holds it, and
+// tells by its own clock whether the daemon may still act as a member.
 package joiner
--- a/internal/process/joiner/joiner.go
+++ b/internal/process/joiner/joiner.go
@@ -16,25 +16,27 @@
 )
 
 const (
-	// leastBeat is the least time between two heartbeats without news, and
-	// longestBeat the longest that a lead may ask for: three fit into Validity.
-	leastBeat   = timekeeper.Second
-	longestBeat = 2500 * timekeeper.Millis(1)
+	// minHeartbeatInterval is the shortest interval between two heartbeats without changes, and
+	// maxHeartbeatInterval the longest that a leader may ask for: three fit into Validity.
+	minHeartbeatInterval = timekeeper.Second
+	maxHeartbeatInterval = 2500 * timekeeper.Millis(1)
 
-	// Validity is how long a member may act after the lead last confirmed it.
-	// It spans the change of a lead, and is shorter than leader.Silence.
+	// Validity is how long a member may act after the leader last confirmed it. It
+	// is long enough to span a change of leader, and shorter than the silence after
+	// which the leader removes a member from the roster.
 	Validity = 8 * timekeeper.Second
 
-	// idlePause is how long a member with a healthy lead leaves the lease be.
-	idlePause = 500 * time.Millisecond
+	// leaseCheckInterval is the time between two checks of a member that does not try to
+	// acquire the lease, because its leader is healthy or Shun reports true.
+	leaseCheckInterval = 500 * time.Millisecond
 
-	// sentKept is how many heartbeats may be without an answer.
-	sentKept = 64
+	// maxUnacknowledged is the maximum number of heartbeats awaiting acknowledgement.
+	maxUnacknowledged = 64
 )
 
 type (
-	// Joiner is the membership of one daemon. Set the exported fields before
-	// use.
+	// Joiner maintains the membership of one daemon. The exported fields must be set
+	// before use.
 	Joiner struct {
 		Clock timekeeper.Clock
 		Self  func() registrar.Member
@@ -42,48 +44,54 @@
 		Links *linker.Manager
 		// Beat fills in a heartbeat.
 		Beat func(*framer.Heartbeat)
-		// Lead is told when this daemon becomes or ceases to be the lead.
+		// Lead is called when this daemon acquires or loses the leader's lease.
 		Lead func(leaser.Fence, bool)
-		// SelfBeat delivers the heartbeats of a lead to itself.
+		// SelfBeat handles the heartbeats that this daemon sends to itself while it
+		// leads.
 		SelfBeat func(*framer.Heartbeat) *framer.Ack
-		// Shun tells that this daemon must not take the lead now.
+		// Shun reports whether this daemon must not acquire the leader's lease now.
 		Shun func() bool
 
-		pause    pauseDetector
-		pokeOnce sync.Once
-		poke     chan struct{}
-		seq      atomic.Uint64
+		pause       pauseDetector
+		triggerOnce sync.Once
+		trigger     chan struct{}
+		sequence    atomic.Uint64
 
 		lock sync.Mutex
-		// sent is made with the first heartbeat.
-		sent      map[uint64]timekeeper.Millis
+		// sent holds the send times of unacknowledged heartbeats by sequence number.
+		// It is allocated by the first heartbeat.
+		sent map[uint64]timekeeper.Millis
+		// confirmed is the send time of the last heartbeat that confirmed the
+		// membership.
 		confirmed timekeeper.Millis
-		// bySelf tells that this daemon confirmed itself, as the lead.
-		bySelf   bool
-		answered timekeeper.Millis
-		pauses   uint64
-		lead     registrar.Incarnation
-		// platformDown is what the lead said last.
+		// selfConfirmed reports whether this daemon confirmed itself, as the leader.
+		selfConfirmed bool
+		// acknowledged is the send time of the last heartbeat that a leader acknowledged.
+		acknowledged timekeeper.Millis
+		// pauses is the number of pauses before the last confirmation.
+		pauses uint64
+		leader registrar.Incarnation
+		// platformDown is what the leader last reported.
 		platformDown bool
-		// beatAsked is the time between heartbeats that the lead asked for.
-		beatAsked timekeeper.Millis
+		// requestedInterval is the heartbeat interval that the leader last asked for.
+		requestedInterval timekeeper.Millis
 	}
 )
 
-// Start takes up the membership. Every other method may be called before, at the
-// same time or after: the listeners of a daemon serve while it still waits for
-// its first settings.
+// Start starts maintaining the membership until ctx is done. All other methods may be
+// called before, during and after it, since a daemon's listeners already serve while
+// it waits for its first settings.
 func (j *Joiner) Start(ctx context.Context) {
-	go j.runPause(ctx)
+	go j.runPauseDetector(ctx)
 	go j.runLease(ctx)
-	go j.runBeats(ctx)
+	go j.runHeartbeats(ctx)
 }
 
-// Valid tells whether this daemon may act as a member now. It is false after a long
-// pause until the lead has confirmed the membership anew, and when the lead has
-// not done so for too long although the platform, which tells who leads, can be
-// reached. While it cannot, nobody else is given what this member has, unless it
-// is silent for longer than a pause may take.
+// Valid reports whether this daemon may act as a member now. It is false after a long
+// pause until the leader confirms the membership again, and when the leader has not
+// confirmed it within Validity although the platform, which holds the leader's lease,
+// is reachable. While the platform is unreachable, nothing this member owns is
+// reassigned unless it is silent for longer than the longest permitted pause.
 func (j *Joiner) Valid() bool {
 	pauses := j.pause.check(j.Clock.Now())
 	j.lock.Lock()
@@ -94,39 +102,40 @@
 	if !j.Lease.Reachable() {
 		return true
 	}
-	if j.bySelf {
-		// A lead's membership ends with its lease, so that whoever takes the
-		// lease need not wait for more.
+	if j.selfConfirmed {
+		// A leader's membership ends with its lease, so that the next leader need
+		// not wait any longer.
 		_, held := j.Lease.Held()
 		return held
 	}
 	return j.Clock.Now() < j.confirmed+Validity
 }
 
-// Poke sends a heartbeat soon, since there is news.
+// Poke triggers a heartbeat ahead of schedule, to report a change.
 func (j *Joiner) Poke() {
 	select {
-	case j.pokes() <- struct{}{}:
+	case j.triggerChannel() <- struct{}{}:
 	default:
 	}
 }
 
-// pokes is the channel of pokes, which holds one.
-func (j *Joiner) pokes() chan struct{} {
-	j.pokeOnce.Do(func() { j.poke = make(chan struct{}, 1) })
-	return j.poke
+// triggerChannel returns the channel that triggers heartbeats. Its buffer holds one trigger.
+func (j *Joiner) triggerChannel() chan struct{} {
+	j.triggerOnce.Do(func() { j.trigger = make(chan struct{}, 1) })
+	return j.trigger
 }
 
-// LeadHealthy tells whether the lead answered lately.
+// LeadHealthy reports whether the leader recently acknowledged a heartbeat.
 func (j *Joiner) LeadHealthy() bool {
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	// Two and a half heartbeats without an answer are a lead lost.
-	return j.answered != 0 && j.Clock.Now() < j.answered+j.interval()*5/2
+	// The leader is considered lost after two and a half heartbeat intervals without
+	// an acknowledgement.
+	return j.acknowledged != 0 && j.Clock.Now() < j.acknowledged+j.interval()*5/2
 }
 
-// Interval is the time between two heartbeats without news. The lead of a large
-// region asks for fewer.
+// Interval returns the time between two heartbeats without changes. The leader of a
+// large region asks for a longer one.
 func (j *Joiner) Interval() timekeeper.Millis {
 	j.lock.Lock()
 	defer j.lock.Unlock()
@@ -134,11 +143,11 @@
 }
 
 func (j *Joiner) interval() timekeeper.Millis {
-	return min(max(j.beatAsked, leastBeat), longestBeat)
+	return min(max(j.requestedInterval, minHeartbeatInterval), maxHeartbeatInterval)
 }
 
-// Outage tells whether the platform is out of reach, as far as is known here: the
-// lead says so, or there is no lead and this daemon finds out itself.
+// Outage reports whether the platform is unreachable, as last reported by the leader
+// or, without a healthy leader, as seen by this daemon.
 func (j *Joiner) Outage() bool {
 	if j.LeadHealthy() {
 		j.lock.Lock()
@@ -148,28 +157,28 @@
 	return !j.Lease.Reachable()
 }
 
-// LeadIs returns the incarnation of the lead that this daemon beats to.
+// LeadIs returns the incarnation of the leader that this daemon sends heartbeats to.
 func (j *Joiner) LeadIs() registrar.Incarnation {
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	return j.lead
+	return j.leader
 }
 
-// runPause looks for pauses although nobody asks.
-func (j *Joiner) runPause(ctx context.Context) {
-	timekeeper.Every(ctx, pauseTick, func() { j.pause.check(j.Clock.Now()) })
+// runPauseDetector checks for pauses regularly, also when no other method is called.
+func (j *Joiner) runPauseDetector(ctx context.Context) {
+	timekeeper.Every(ctx, pauseCheckInterval, func() { j.pause.check(j.Clock.Now()) })
 }
 
-// runLease holds the lease of the lead, or looks whether somebody does. A
-// member whose lead answers leaves the platform alone.
+// runLease acquires and renews the leader's lease, or watches its holder. A member
+// with a healthy leader makes no calls to the platform.
 func (j *Joiner) runLease(ctx context.Context) {
-	var was bool
+	var wasHeld bool
 	for {
 		wait := j.stepLease(ctx)
 		fence, held := j.Lease.Held()
-		if held != was {
+		if held != wasHeld {
 			j.Lead(fence, held)
-			was = held
+			wasHeld = held
 			j.Poke()
 		}
 		select {
@@ -182,37 +191,38 @@
 
 func (j *Joiner) stepLease(ctx context.Context) time.Duration {
 	if _, held := j.Lease.Held(); !held && j.LeadHealthy() {
-		return idlePause
+		return leaseCheckInterval
 	}
 	_, held := j.Lease.Held()
 	if !held && j.Shun() {
 		_ = j.Lease.Look(ctx)
-		return idlePause
+		return leaseCheckInterval
 	}
 	wait := j.Lease.Step(ctx).Duration()
-	// Members that lost their lead together do not ask together.
+	// Jitter keeps members that lost their leader together from calling the platform
+	// together.
 	return wait*3/4 + rand.N(wait/2)
 }
 
-func (j *Joiner) runBeats(ctx context.Context) {
+func (j *Joiner) runHeartbeats(ctx context.Context) {
 	for {
-		j.beat(ctx)
+		j.sendHeartbeat(ctx)
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(j.Interval().Duration()):
-		case <-j.pokes():
+		case <-j.triggerChannel():
 		}
 	}
 }
 
-func (j *Joiner) beat(ctx context.Context) {
-	h := &framer.Heartbeat{Sequence: j.seq.Add(1)}
+func (j *Joiner) sendHeartbeat(ctx context.Context) {
+	h := &framer.Heartbeat{Sequence: j.sequence.Add(1)}
 	now := j.Clock.Now()
 	if _, held := j.Lease.Held(); held {
 		j.Beat(h)
-		j.note(h.Sequence, now)
-		j.setLead(j.Self().Incarnation)
+		j.recordSent(h.Sequence, now)
+		j.setLeader(j.Self().Incarnation)
 		if a := j.SelfBeat(h); a != nil {
 			j.Acked(a)
 		}
@@ -225,36 +235,36 @@
 	if !alive && !j.LeadHealthy() && j.Lease.Reachable() {
 		return
 	}
-	lead := registrar.Member{Incarnation: registrar.Incarnation(r.Holder), Links: r.Address}
-	p := j.Links.Peer(ctx, lead)
-	j.setLead(lead.Incarnation)
+	leader := registrar.Member{Incarnation: registrar.Incarnation(r.Holder), Links: r.Address}
+	p := j.Links.Peer(ctx, leader)
+	j.setLeader(leader.Incarnation)
 	if !p.Up() {
 		return
 	}
 	j.Beat(h)
-	j.note(h.Sequence, now)
+	j.recordSent(h.Sequence, now)
 	p.Send(framer.KindHeartbeat, h)
 }
 
-func (j *Joiner) setLead(i registrar.Incarnation) {
+func (j *Joiner) setLeader(i registrar.Incarnation) {
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	j.lead = i
+	j.leader = i
 }
 
-// note remembers when a heartbeat was sent: an answer confirms the membership
-// from then on, not from when the answer came.
-func (j *Joiner) note(sequence uint64, now timekeeper.Millis) {
+// recordSent records the send time of a heartbeat: its acknowledgement confirms the
+// membership from then on, not from the time of receipt.
+func (j *Joiner) recordSent(sequence uint64, now timekeeper.Millis) {
 	j.lock.Lock()
 	defer j.lock.Unlock()
 	if j.sent == nil {
 		j.sent = map[uint64]timekeeper.Millis{}
 	}
 	j.sent[sequence] = now
-	delete(j.sent, sequence-sentKept)
+	delete(j.sent, sequence-maxUnacknowledged)
 }
 
-// Acked takes the answer to a heartbeat.
+// Acked handles the acknowledgement of a heartbeat.
 func (j *Joiner) Acked(a *framer.Ack) {
 	pauses := j.pause.check(j.Clock.Now())
 	j.lock.Lock()
@@ -264,19 +274,19 @@
 		return
 	}
 	delete(j.sent, a.Sequence)
-	j.answered = max(j.answered, sent)
+	j.acknowledged = max(j.acknowledged, sent)
 	if fence, _ := j.Lease.Held(); fence == 0 {
 		j.Lease.Observe(storer.Revision(a.Lease))
 	}
 	j.platformDown = a.PlatformDown
-	j.beatAsked = timekeeper.Millis(a.BeatMillis)
+	j.requestedInterval = timekeeper.Millis(a.BeatMillis)
 	if !a.Known {
 		return
 	}
-	if j.Clock.Now()-sent < pauseLimit {
-		// The answer is to a heartbeat sent after any pause.
+	if j.Clock.Now()-sent < maxPause {
+		// The acknowledged heartbeat was sent after the last pause.
 		j.pauses = pauses
 	}
 	j.confirmed = max(j.confirmed, sent)
-	j.bySelf = j.lead == j.Self().Incarnation
+	j.selfConfirmed = j.leader == j.Self().Incarnation
 }
--- a/internal/process/joiner/joiner_test.go
+++ b/internal/process/joiner/joiner_test.go
@@ -21,9 +21,9 @@
 	return nil, errors.New("no platform")
 }
 
-// TestAskedBeforeStart asks a joiner while it starts, as the operators' listener
-// does with a daemon that has no settings yet. Under -race it fails when Start
-// writes what a question reads.
+// TestAskedBeforeStart calls a joiner while it starts, as the operators' listener does
+// in a daemon without settings. Under -race it fails if Start writes a field that
+// another method reads.
 func TestAskedBeforeStart(t *testing.T) {
 	is := is.New(t)
 	clock := timekeeper.Clock{}
--- a/internal/process/joiner/pause.go
+++ b/internal/process/joiner/pause.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	pauseTick = 100 * time.Millisecond
+	pauseCheckInterval = 100 * time.Millisecond
 
-	// pauseLimit is how long a process may stand still without being taken
-	// for paused. Nobody acts for a member that is silent for less, neither a
-	// lead nor, in an outage of the platform, its peers.
-	pauseLimit = Validity
+	// maxPause is the longest time that the process may be stopped without
+	// counting as paused. Nobody takes over from a member that is silent for less:
+	// neither a leader nor, in an outage of the platform, its peers.
+	maxPause = Validity
 )
 
-// pauseDetector notices that the process stood still: it was stopped, or its VM
-// was. While a lead confirms a member its clock says as much, but in an outage the
-// membership has no end, and a process that slept through a part of it must not
-// go on as if it had been there. Whichever runs first after the pause, the loop
-// or a question, finds the gap, so no question asked afterwards is answered as if
-// nothing happened.
+// pauseDetector detects that the process or its VM was stopped for a while. As long as
+// a leader confirms a member, the time since the last confirmation shows this too. In
+// an outage of the platform, however, a membership does not expire, and a process that
+// was stopped for part of the outage must not continue as a member. The first check
+// after the pause finds the gap, whether it is made by the loop or by a caller, so every
+// later call takes the pause into account.
 type pauseDetector struct {
 	last   atomic.Int64
 	pauses atomic.Uint64
@@ -30,7 +30,7 @@
 // check returns how many pauses there were, the one that just ended included.
 func (d *pauseDetector) check(now timekeeper.Millis) uint64 {
 	last := timekeeper.Millis(d.last.Swap(int64(now)))
-	if last != 0 && now-last > pauseLimit {
+	if last != 0 && now-last > maxPause {
 		return d.pauses.Add(1)
 	}
 	return d.pauses.Load()
