--- a/internal/process/claimer/claimer.go
+++ b/internal/process/claimer/claimer.go
@@ -13,44 +13,52 @@
 )
 
 const (
-	// repeat is the time between two claims of what is not yet released.
-	repeat = 150 * time.Millisecond
+	// claimInterval is the time between two claims of an upstream that is not yet released.
+	claimInterval = 150 * time.Millisecond
 
-	// unsettled answers a claim that cannot be granted now.
-	unsettled = -1
+	// notGranted is the response to a claim that cannot be granted now.
+	notGranted = -1
 )
 
 type (
-	// Claimer claims the upstreams of one daemon. Set the exported fields
+	// Claimer claims the upstreams of one daemon. The exported fields must be set
 	// before use.
 	Claimer struct {
 		Self  func() registrar.Member
 		Owner *pooler.Owner
 		Links *linker.Manager
 
-		lock     sync.Mutex
-		view     *registrar.View
+		lock sync.Mutex
+		view *registrar.View
+		// versions holds the roster versions by region.
 		versions map[string]uint64
-		wanted   map[string]*claim
+		// wanted holds the owned upstreams that are not yet fully released.
+		wanted map[string]*claim
+		// yielded holds the upstreams released to another daemon, with the roster
+		// version of its claim. They are not claimed until the local roster is at
+		// least as new.
 		yielded  map[string]uint64
 		sequence uint64
-		asked    map[uint64]question
+		// outstanding holds the claims of the last round that await a response.
+		outstanding map[uint64]claimMessage
 	}
 
-	// claim is an owned upstream that may have requests of a former owner.
+	// claim is an owned upstream that may still run requests of a former owner.
+	// answers holds the number of these requests reported by each other member.
 	claim struct {
-		site    registrar.Site
-		answers map[registrar.Incarnation]int
+		site     registrar.Site
+		released map[registrar.Incarnation]int
 	}
 
-	question struct {
+	// claimMessage is a claim message sent to one member.
+	claimMessage struct {
 		to        registrar.Incarnation
 		upstreams []string
 	}
 )
 
-// Set tells the rosters and settings in force. The owner then has exactly the
-// upstreams that they give to this daemon.
+// Set applies the rosters and settings in force. Owner then has exactly the upstreams
+// that they assign to this daemon.
 func (c *Claimer) Set(view *registrar.View, versions map[string]uint64, settings *resolver.Resolved) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -61,7 +69,7 @@
 	old := c.wanted
 	c.wanted = map[string]*claim{}
 	for _, u := range fresh {
-		c.wanted[u] = &claim{site: sites[u], answers: map[registrar.Incarnation]int{}}
+		c.wanted[u] = &claim{site: sites[u], released: map[registrar.Incarnation]int{}}
 	}
 	for u, k := range old {
 		if _, mine := sites[u]; mine && c.wanted[u] == nil {
@@ -75,7 +83,7 @@
 	}
 }
 
-// owned returns the upstreams of this daemon, and the site of each.
+// owned returns the upstreams assigned to this daemon, and the site of each.
 func (c *Claimer) owned(view *registrar.View, settings *resolver.Resolved) (map[pooler.Key]pooler.Owned, map[string]registrar.Site) {
 	me := c.Self().Incarnation
 	wanted := map[pooler.Key]pooler.Owned{}
@@ -99,12 +107,12 @@
 	return wanted, sites
 }
 
-// Run asks for what is claimed until ctx ends.
+// Run sends claims until ctx is done.
 func (c *Claimer) Run(ctx context.Context) {
-	t := time.NewTicker(repeat)
+	t := time.NewTicker(claimInterval)
 	defer t.Stop()
 	for {
-		c.ask(ctx)
+		c.sendClaims(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -113,10 +121,10 @@
 	}
 }
 
-// ask sends one round of claims.
-func (c *Claimer) ask(ctx context.Context) {
+// sendClaims sends one round of claims.
+func (c *Claimer) sendClaims(ctx context.Context) {
 	c.lock.Lock()
-	c.asked = map[uint64]question{}
+	c.outstanding = map[uint64]claimMessage{}
 	byRegion := map[string][]string{}
 	for u, k := range c.wanted {
 		if _, yields := c.yielded[u]; !yields {
@@ -125,11 +133,11 @@
 	}
 	var out []func()
 	for region, upstreams := range byRegion {
-		for _, m := range c.mates(region) {
-			out = append(out, c.question(ctx, m, region, upstreams))
+		for _, m := range c.peers(region) {
+			out = append(out, c.claimMessage(ctx, m, region, upstreams))
 		}
 		for _, u := range upstreams {
-			c.settle(u)
+			c.tryActivate(u)
 		}
 	}
 	c.lock.Unlock()
@@ -138,8 +146,8 @@
 	}
 }
 
-// mates are the other members of a region.
-func (c *Claimer) mates(region string) []registrar.Member {
+// peers returns the other members of a region.
+func (c *Claimer) peers(region string) []registrar.Member {
 	var out []registrar.Member
 	for _, m := range c.view.Region(region) {
 		if m.Incarnation != c.Self().Incarnation {
@@ -149,9 +157,11 @@
 	return out
 }
 
-func (c *Claimer) question(ctx context.Context, m registrar.Member, region string, upstreams []string) func() {
+// claimMessage registers a claim for a member and returns a function that sends it. The
+// caller must hold the lock and call the function without it.
+func (c *Claimer) claimMessage(ctx context.Context, m registrar.Member, region string, upstreams []string) func() {
 	c.sequence++
-	c.asked[c.sequence] = question{to: m.Incarnation, upstreams: upstreams}
+	c.outstanding[c.sequence] = claimMessage{to: m.Incarnation, upstreams: upstreams}
 	msg := &framer.Claim{
 		Sequence:  c.sequence,
 		Upstreams: upstreams,
@@ -161,7 +171,7 @@
 	return func() { c.Links.Peer(ctx, m).Send(framer.KindClaim, msg) }
 }
 
-// Asked answers the claim of another daemon.
+// Asked handles the claim of another daemon and returns the response.
 func (c *Claimer) Asked(m *framer.Claim) *framer.Released {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -172,12 +182,13 @@
 	return out
 }
 
-// grant stops sending to u, unless the claim goes by an older roster than ours.
-// It also answers for those before us: while we wait for a former owner
-// ourselves, we cannot say that nobody sends.
+// grant stops sending to u and returns the number of requests still running there. It
+// returns unsettled if the claim is based on an older roster than the local one. Release
+// also accounts for former owners: while this daemon still waits for one of them, it
+// cannot confirm that nobody sends to u.
 func (c *Claimer) grant(u string, m *framer.Claim) int {
 	if m.Version < c.versions[m.Region] {
-		return unsettled
+		return notGranted
 	}
 	if c.yielded == nil {
 		c.yielded = map[string]uint64{}
@@ -186,36 +197,36 @@
 	return c.Owner.Release(u)
 }
 
-// Answered takes the answer to a claim.
+// Answered handles the response to a claim.
 func (c *Claimer) Answered(m *framer.Released) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	q, ok := c.asked[m.Sequence]
+	q, ok := c.outstanding[m.Sequence]
 	if !ok || len(m.Busy) != len(q.upstreams) {
 		return
 	}
-	delete(c.asked, m.Sequence)
+	delete(c.outstanding, m.Sequence)
 	for i, u := range q.upstreams {
 		k := c.wanted[u]
 		if k == nil {
 			continue
 		}
 		if m.Busy[i] < 0 {
-			delete(k.answers, q.to)
+			delete(k.released, q.to)
 			continue
 		}
-		k.answers[q.to] = int(m.Busy[i])
-		c.settle(u)
+		k.released[q.to] = int(m.Busy[i])
+		c.tryActivate(u)
 	}
 }
 
-// settle starts using u once all mates have answered, and stops asking once
-// none of them has a request there.
-func (c *Claimer) settle(u string) {
+// tryActivate starts using u once all other members have responded, and stops claiming it
+// once none of them has a request running there.
+func (c *Claimer) tryActivate(u string) {
 	k := c.wanted[u]
 	busy := 0
-	for _, m := range c.mates(k.site.Region()) {
-		n, ok := k.answers[m.Incarnation]
+	for _, m := range c.peers(k.site.Region()) {
+		n, ok := k.released[m.Incarnation]
 		if !ok {
 			return
 		}
--- a/internal/process/claimer/claimer_test.go
+++ b/internal/process/claimer/claimer_test.go
@@ -33,7 +33,7 @@
 	servers = 4
 )
 
-// node is a daemon reduced to what hands upstreams over.
+// node is a daemon reduced to the transfer of upstreams.
 type node struct {
 	member  registrar.Member
 	owner   *pooler.Owner
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestHandOverKeepsSlots has daemons begin and cease to leave under load, each
-// learning of it at its own time. No upstream may ever see more requests than
-// it has slots, and each has one owner in the end.
+// TestHandOverKeepsSlots marks daemons as leaving and not leaving under load, and delivers
+// each change to the daemons at different times. No upstream may ever receive more requests
+// at once than it has slots, and in the end each must have exactly one owner.
 func TestHandOverKeepsSlots(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -166,7 +166,7 @@
 	return registrar.NewView([]registrar.Roster{r})
 }
 
-// runLoad sends requests to whichever daemon takes them.
+// runLoad sends requests to all daemons in turn.
 func runLoad(ctx context.Context, all []*node, w int, answered *atomic.Int64) {
 	for i := 0; ctx.Err() == nil; i++ {
 		x := all[(w+i)%len(all)]
--- a/internal/process/claimer/doc.go
+++ b/internal/process/claimer/doc.go
@@ -1,5 +1,5 @@
-// Package claimer hands upstreams over between daemons. The rosters say who owns
-// an upstream; the new owner sends nothing to it until every other daemon of the
-// region that could have been its owner has said that it stopped, and leaves
-// free the slots that their last requests still hold.
+// Package claimer transfers upstreams between daemons. The rosters determine the
+// owner of an upstream. A new owner sends it no requests until every other daemon of
+// the region, any of which may be a former owner, has confirmed that it stopped, and
+// then keeps the slots free that their last requests still occupy.
 package claimer
--- a/internal/process/director/choose_test.go
+++ b/internal/process/director/choose_test.go
@@ -32,8 +32,8 @@
 	is.Equal(len(director.Choose(nil, "east", "x")), 0)
 }
 
-// Two strong VMs and nine that carry a twentieth of each: the strong ones get most
-// callers, and no caller is left with less than three entries.
+// With two strong VMs and nine of a twentieth of their strength, the strong ones must get
+// most callers, and every caller at least three entries.
 func TestStrongEntriesGetMore(t *testing.T) {
 	is := is.New(t)
 	var all []heartbeater.Member
--- a/internal/process/director/doc.go
+++ b/internal/process/director/doc.go
@@ -1,3 +1,3 @@
-// Package director chooses which entries a look-up names: those that take
-// requests, nearest to the caller first.
+// Package director chooses the entries that a lookup returns: ready ones, in the caller's
+// region if it has any.
 package director
--- a/internal/process/follower/doc.go
+++ b/internal/process/follower/doc.go
@@ -1,4 +1,4 @@
-// Package follower runs an entry from a file: it keeps the entry's routes, services,
-// upstreams and evacuations at what the file says, and takes a change over when the
-// file is written or the process is told to look.
+// Package follower runs an entry from a configuration file. It applies the routes,
+// services, upstreams and evacuations in the file, and reloads it when it changes or the
+// process receives SIGHUP.
 package follower
--- a/internal/process/follower/follow.go
+++ b/internal/process/follower/follow.go
@@ -27,12 +27,13 @@
 	readyPath   = "/ready"
 	metricsPath = "/metrics"
 
-	// lookEvery is how often the file is looked at: a change is in force within
-	// a second, and a look costs one call to the system.
-	lookEvery = 500 * time.Millisecond
+	// pollInterval is the interval at which the file is checked for changes. It puts a
+	// change into force within a second, at the cost of one system call per check.
+	pollInterval = 500 * time.Millisecond
 
-	// An entry may repeat retryRatio of its requests and retryBurst beside them
-	// within retryWindow: the default of the setting RetryBudget, and its reserve.
+	// An entry may retry the fraction retryRatio of its requests, and retryBurst
+	// requests in addition, within retryWindow. The ratio is the default of the
+	// setting RetryBudget, the burst its reserve.
 	retryRatio  = 0.1
 	retryBurst  = 10
 	retryWindow = 10 * timekeeper.Second
@@ -42,7 +43,7 @@
 var Fields = dispatcher.Fields{
 	RequestID: "Gullvale-Request",
 	Deadline:  "Gullvale-Deadline-Millis",
-	// Key names the object that a request is about; Credential is an API key.
+	// Key identifies the object of a request. Credential is an API key.
 	Key:          "Gullvale-Key",
 	Credential:   "Gullvale-Credential",
 	Organisation: "Gullvale-Organisation",
@@ -50,45 +51,45 @@
 }
 
 type (
-	// Options say what a follower serves and where.
+	// Options configure a Follower.
 	Options struct {
-		// File is the table that is followed.
+		// File is the path of the configuration file.
 		File string
-		// Name and Site are those of this entry.
+		// Name and Site identify this entry.
 		Name string
 		Site registrar.Site
-		// Callers, Checks and Metrics are the addresses of the listeners, "ip:port",
-		// "" for none.
+		// Callers, Checks and Metrics are the addresses of the listeners as "ip:port".
+		// An empty address disables the listener.
 		Callers, Checks, Metrics string
-		// StopWithin is the time between the order to stop and the end.
+		// StopWithin is the time that the process has to shut down.
 		StopWithin timekeeper.Millis
-		// Without are the mechanisms that are off.
+		// Without holds the mechanisms that are switched off.
 		Without switcher.Set
 		Log     *logrus.Logger
 	}
 
-	// Follower is an entry that follows a file. Build it with New.
+	// Follower is an entry configured by a file. It must be created with New.
 	Follower struct {
 		options Options
 		front   *fronter.Fronter
 		limits  *limiter.Limiter
 		clock   timekeeper.Clock
-		// seen is the file's state when it was last read.
-		seen state
+		// lastRead is the state of the file when it was last read.
+		lastRead fileState
 	}
 
-	// state tells one writing of a file from another.
-	state struct {
+	// fileState is compared to detect that a file was written.
+	fileState struct {
 		size    int64
 		written time.Time
 	}
 )
 
-// New builds an entry that follows a file, and puts what that says into force. The
-// regions between which keys have their homes are those of this first table.
+// New returns an entry that follows a file, with the file's present contents in force.
+// Later changes don't affect the set of regions that keys may have their homes in.
 func New(o Options) (*Follower, parser.Problems) {
 	f := &Follower{options: o}
-	f.seen = f.look()
+	f.lastRead = f.fileState()
 	t, problems := loader.ReadFile(o.File)
 	if len(problems) > 0 {
 		return nil, problems
@@ -117,7 +118,7 @@
 	return f, nil
 }
 
-// newLimits are the limits of organisations of an entry that has no others beside it.
+// newLimits returns the organisations' limits for an entry that is the only one.
 func (f *Follower) newLimits() *limiter.Limiter {
 	return limiter.New(limiter.Options{
 		Tolerance: func() limiter.Tolerance { return limiter.Tolerance{} },
@@ -129,7 +130,7 @@
 	})
 }
 
-// Run serves until the process is told to stop.
+// Run serves until the process receives SIGTERM or SIGINT.
 func (f *Follower) Run() error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -141,17 +142,17 @@
 		return err
 	}
 	f.options.Log.WithFields(logrus.Fields{"name": f.options.Name, "site": f.options.Site, "listeners": f.front.Addresses()}).Info("started")
-	f.await(ctx, signals)
+	f.reloadUntilStopped(ctx, signals)
 	f.front.Leave()
 	f.front.Stop()
 	f.options.Log.Info("stopped")
 	return nil
 }
 
-// await returns on the first signal to stop, and takes changes of the file over until
-// then.
-func (f *Follower) await(ctx context.Context, signals <-chan os.Signal) {
-	t := time.NewTicker(lookEvery)
+// reloadUntilStopped reloads the file on changes and on SIGHUP. It returns on the first signal
+// to stop or when ctx is done.
+func (f *Follower) reloadUntilStopped(ctx context.Context, signals <-chan os.Signal) {
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -164,27 +165,28 @@
 			}
 			f.reload()
 		case <-t.C:
-			if f.look() != f.seen {
+			if f.fileState() != f.lastRead {
 				f.reload()
 			}
 		}
 	}
 }
 
-func (f *Follower) look() state {
+// fileState returns the current state of the file.
+func (f *Follower) fileState() fileState {
 	i, err := os.Stat(f.options.File)
 	if err != nil {
-		// Whoever replaces the file may have removed it for a moment. What is in
-		// force stays.
-		return f.seen
+		// The file may be missing for a moment while it is replaced. The
+		// configuration in force stays.
+		return f.lastRead
 	}
-	return state{i.Size(), i.ModTime()}
+	return fileState{i.Size(), i.ModTime()}
 }
 
-// reload reads the file and puts it into force if nothing is wrong with it and it is
-// newer.
+// reload reads the file and puts it into force if it is valid and newer than the
+// configuration in force.
 func (f *Follower) reload() {
-	f.seen = f.look()
+	f.lastRead = f.fileState()
 	t, problems := loader.ReadFile(f.options.File)
 	if len(problems) > 0 {
 		f.options.Log.WithError(problems).Error("changed table refused")
--- a/internal/process/switcher/doc.go
+++ b/internal/process/switcher/doc.go
@@ -1,4 +1,4 @@
-// Package switcher names the mechanisms that can be switched off one by one, for
-// experiments that measure what each of them is worth. What guards a promise to
-// callers or operators has no switch.
+// Package switcher defines the mechanisms that can be switched off individually, for
+// experiments that measure the benefit of each. Mechanisms that uphold a guarantee to
+// callers or operators cannot be switched off.
 package switcher
--- a/internal/process/switcher/mechanisms.go
+++ b/internal/process/switcher/mechanisms.go
@@ -8,64 +8,69 @@
 	"github.com/rotisserie/eris"
 )
 
-// The mechanisms. Each comment says what happens without it.
+// The mechanisms. Each comment gives the behaviour with and without it.
 const (
-	// Homes has keys live at one upstream. Without it they go by their hash alone.
+	// Homes assigns each key to one upstream. Without it, keys are placed by hash alone.
 	Homes Mechanism = iota
-	// SavedHomes keeps homes, and requests in quarantine, in the store. Without it a start
-	// knows those only that other VMs announce.
+	// SavedHomes saves homes and quarantined requests in the store. Without it, a starting
+	// entry knows only those that other VMs announce.
 	SavedHomes
-	// Moves has keys leave crowded homes. Without it they leave only upstreams that
-	// take no work.
+	// Moves moves keys away from crowded homes. Without it, keys leave only upstreams that
+	// accept no requests.
 	Moves
-	// Waiting has a key wait for its full home. Without it the key visits any upstream
-	// that has room.
+	// Waiting queues requests for a key whose home is full. Without it, they go to any
+	// upstream with a free slot.
 	Waiting
-	// RefusedStay sends a refused request to its home again. Without it the next sending
-	// goes elsewhere.
+	// RefusedStay retries a refused request at its home. Without it, the next attempt goes
+	// elsewhere.
 	RefusedStay
-	// Rank keeps room for the most urgent requests. Without it all have the same room.
+	// Rank reserves capacity for the most urgent requests. Without it, all requests share
+	// the same capacity.
 	Rank
-	// LineLimits bounds an upstream's line. Without it requests join lines of any length.
+	// LineLimits bounds the queue of an upstream. Without it, requests join queues of any
+	// length.
 	LineLimits
-	// FailureShares spares failing upstreams. Without it they are like any other.
+	// FailureShares reduces the share of failing upstreams. Without it, they are treated
+	// like any other.
 	FailureShares
-	// BackOff spares upstreams that were not reached. Without it each request tries them
-	// once.
+	// BackOff avoids unreachable upstreams for a while. Without it, each request makes an
+	// attempt there.
 	BackOff
-	// FormerHomes remembers where else a key ran. Without it a key that leaves its home
-	// goes by its hash and by load.
+	// FormerHomes records the earlier homes of a key. Without it, a key that leaves its
+	// home is placed by hash and load.
 	FormerHomes
-	// TightRoutes keeps the tightest routes in a small region. Without it all routes keep
-	// the same part of their keys there.
+	// TightRoutes keeps the tightest routes within a small region. Without it, all routes
+	// keep the same fraction of their keys there.
 	TightRoutes
-	// HomeRegions prefers the callers' region for a key. Without it all regions are alike.
+	// HomeRegions prefers the callers' region for a key. Without it, all regions are
+	// equivalent.
 	HomeRegions
-	// StartWaits holds requests until the entry knows what it needs. Without it they are
-	// refused meanwhile.
+	// StartWaits holds requests until a starting entry has the data it needs. Without it,
+	// they are refused until then.
 	StartWaits
-	// StartHomes makes the homes a part of what a start needs. Without it the entry is
-	// ready before they are read.
+	// StartHomes makes the homes part of the data that a starting entry needs. Without it,
+	// the entry is ready before they are read.
 	StartHomes
-	// StartLead has a start wait for a lead of its region. Without it the process watches
-	// the store at once.
+	// StartLead makes a starting process wait for a leader of its region. Without it, the
+	// process watches the store at once.
 	StartLead
-	// RequestsAhead handles requests sent ahead side by side. Without it they are handled
-	// one after the other.
+	// RequestsAhead handles pipelined requests concurrently. Without it, they are handled
+	// one after another.
 	RequestsAhead
-	// RelayedChanges has the lead of a region relay changes. Without it each VM watches the
-	// store itself.
+	// RelayedChanges makes the leader of a region relay changes. Without it, each VM
+	// watches the store itself.
 	RelayedChanges
-	// Strength shares look-ups by what VMs can carry. Without it all VMs count alike.
+	// Strength distributes lookups by the strength of VMs. Without it, all VMs have equal
+	// weight.
 	Strength
-	// CountedLimits has leads count for organisations' limits. Without it each VM uses an
-	// equal part of them.
+	// CountedLimits makes limit allocators share out organisations' limits. Without it, each
+	// VM uses an equal part of them.
 	CountedLimits
 
-	mechanisms
+	mechanismCount
 )
 
-var names = [mechanisms]string{
+var names = [mechanismCount]string{
 	Homes:          "homes",
 	SavedHomes:     "saved-homes",
 	Moves:          "moves",
@@ -88,19 +93,19 @@
 }
 
 type (
-	// Mechanism is one mechanism.
+	// Mechanism identifies a mechanism that can be switched off.
 	Mechanism uint8
 
-	// Set is a set of mechanisms, in the daemon of those that are off. The zero value has
-	// none. It is a pflag.Value, a list of names with commas between them. To ask for a
-	// mechanism takes no lock and about 2 ns (BenchmarkHas).
+	// Set is a set of mechanisms, in a daemon those that are off. The zero value is empty.
+	// It implements pflag.Value as a comma-separated list of names. Has takes no lock and
+	// about 2 ns (BenchmarkHas).
 	Set uint32
 )
 
 // All returns all mechanisms in the order of their declaration.
 func All() []Mechanism {
-	all := make([]Mechanism, mechanisms)
-	for m := range mechanisms {
+	all := make([]Mechanism, mechanismCount)
+	for m := range mechanismCount {
 		all[m] = m
 	}
 	return all
@@ -115,8 +120,8 @@
 	return s
 }
 
-// Parse reads names with commas between them. It reports all unknown names at once,
-// with those that there are.
+// Parse parses a comma-separated list of names. Its error lists all unknown names, and
+// the known ones.
 func Parse(list string) (Set, error) {
 	var s Set
 	var problems []error
@@ -150,13 +155,13 @@
 
 // String returns the name of the mechanism.
 func (m Mechanism) String() string {
-	if m >= mechanisms {
+	if m >= mechanismCount {
 		return "unknown"
 	}
 	return names[m]
 }
 
-// Has tells whether m is in the set.
+// Has reports whether m is in the set.
 func (s Set) Has(m Mechanism) bool {
 	return s&(1<<m) != 0
 }
@@ -172,7 +177,7 @@
 	return l
 }
 
-// String returns the names with commas between them.
+// String returns a comma-separated list of names.
 func (s Set) String() string {
 	var l []string
 	for _, m := range s.List() {
@@ -181,14 +186,14 @@
 	return strings.Join(l, ",")
 }
 
-// Set adds the mechanisms of a list of names.
+// Set adds the mechanisms in a comma-separated list of names.
 func (s *Set) Set(list string) error {
 	more, err := Parse(list)
 	*s |= more
 	return err
 }
 
-// Type names the kind of value in a command's help.
+// Type returns the name of the value's type in a command's help.
 func (s *Set) Type() string {
 	return "names"
 }
--- a/internal/process/switcher/mechanisms_test.go
+++ b/internal/process/switcher/mechanisms_test.go
@@ -19,7 +19,8 @@
 	is.Equal(len(s.List()), 0)
 }
 
-// TestNamesAreRead reads each name alone: it stands for one mechanism, and for itself.
+// TestNamesAreRead parses the name of each mechanism: the result must hold this mechanism
+// only and have its name.
 func TestNamesAreRead(t *testing.T) {
 	for _, m := range switcher.All() {
 		t.Run(m.String(), func(t *testing.T) {
@@ -46,7 +47,8 @@
 	is.Equal(s, switcher.Set(0))
 }
 
-// TestUnknownNamesAreRefusedAtOnce names what is wrong and what there is.
+// TestUnknownNamesAreRefusedAtOnce requires one error that lists all unknown and all known
+// names.
 func TestUnknownNamesAreRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	s, err := switcher.Parse("homes,wings,Rank,retry-budget")
@@ -63,7 +65,7 @@
 	is.Equal(flag, switcher.Set(0))
 }
 
-// BenchmarkHas is what a decision pays for asking.
+// BenchmarkHas measures the cost of a check whether a mechanism is off.
 func BenchmarkHas(b *testing.B) {
 	s := switcher.Of(switcher.Rank)
 	n := 0
