--- a/internal/process/claimer/claimer.go
+++ b/internal/process/claimer/claimer.go
@@ -182,10 +182,9 @@
 	return out
 }
 
-// grant stops sending to u and returns the number of requests still running there. It
-// returns unsettled if the claim is based on an older roster than the local one. Release
-// also accounts for former owners: while this daemon still waits for one of them, it
-// cannot confirm that nobody sends to u.
+// grant stops sending to u and returns the number of this daemon's requests still running
+// there, or notGranted if the claim is based on an older roster than the local one. It does
+// not confirm that nobody sends to u: this daemon may itself still wait for a former owner.
 func (c *Claimer) grant(u string, m *framer.Claim) int {
 	if m.Version < c.versions[m.Region] {
 		return notGranted
--- a/internal/process/follower/follow.go
+++ b/internal/process/follower/follow.go
@@ -89,7 +89,7 @@
 // Later changes don't affect the set of regions that keys may have their homes in.
 func New(o Options) (*Follower, parser.Problems) {
 	f := &Follower{options: o}
-	f.lastRead = f.fileState()
+	f.lastRead = f.currentState()
 	t, problems := loader.ReadFile(o.File)
 	if len(problems) > 0 {
 		return nil, problems
@@ -165,15 +165,15 @@
 			}
 			f.reload()
 		case <-t.C:
-			if f.fileState() != f.lastRead {
+			if f.currentState() != f.lastRead {
 				f.reload()
 			}
 		}
 	}
 }
 
-// fileState returns the current state of the file.
-func (f *Follower) fileState() fileState {
+// currentState returns the current state of the file.
+func (f *Follower) currentState() fileState {
 	i, err := os.Stat(f.options.File)
 	if err != nil {
 		// The file may be missing for a moment while it is replaced. The
@@ -186,7 +186,7 @@
 // reload reads the file and puts it into force if it is valid and newer than the
 // configuration in force.
 func (f *Follower) reload() {
-	f.lastRead = f.fileState()
+	f.lastRead = f.currentState()
 	t, problems := loader.ReadFile(f.options.File)
 	if len(problems) > 0 {
 		f.options.Log.WithError(problems).Error("changed table refused")
