--- a/internal/process/claimer/claimer.go
+++ b/internal/process/claimer/claimer.go
@@ -44,7 +44,7 @@
 	}
 
 	// claim is an owned upstream that may still run requests of a former owner.
-	// answers holds the number of these requests reported by each other member.
+	// released holds the number of these requests reported by each other member.
 	claim struct {
 		site     registrar.Site
 		released map[registrar.Incarnation]int
