--- a/internal/process/heartbeater/homes.go
+++ b/internal/process/heartbeater/homes.go
@@ -11,14 +11,14 @@
 // EncodeHomes encodes homes of keys, in at most 20 bytes each.
 func EncodeHomes(list []assigner.Assignment) ([]byte, error) {
 	body, err := proto.Marshal(homesOf(list))
-	return body, eris.Wrap(err, "homes of keys")
+	return body, eris.Wrap(err, "encode homes of keys")
 }
 
 // DecodeHomes decodes homes of keys encoded by EncodeHomes.
 func DecodeHomes(body []byte) ([]assigner.Assignment, error) {
 	var m Homes
 	if err := proto.Unmarshal(body, &m); err != nil {
-		return nil, eris.Wrap(err, "homes of keys")
+		return nil, eris.Wrap(err, "decode homes of keys")
 	}
 	return assignments(&m), nil
 }
--- a/internal/process/leader/leader.go
+++ b/internal/process/leader/leader.go
@@ -25,7 +25,11 @@
 	// PlannerLease is the name of the lease held by the fleet's only planner.
 	PlannerLease = "Lease/Planner"
 
+	// watchTimeout is how long a watch waits for changes.
 	watchTimeout = 20 * timekeeper.Second
+
+	// dutyInterval is the time between two updates of roster and summary when nothing
+	// wakes runDuties.
 	dutyInterval = 250 * time.Millisecond
 
 	// batchDelay is how long changes are batched before they are written, so that the
--- a/internal/process/leader/members.go
+++ b/internal/process/leader/members.go
@@ -88,7 +88,7 @@
 
 // adoptRoster adds the members of a roster written by an earlier leader. Each has the
 // full Silence from now to send a heartbeat, except the previous leader, whose
-// membership ended with its lease and which has only rejoin.
+// membership ended with its lease and which has only formerLeaderTimeout.
 func (m *members) adoptRoster(r registrar.Roster, before registrar.Incarnation, now timekeeper.Millis) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -108,8 +108,8 @@
 // recordHeartbeat records a heartbeat and reports whether the roster or a number in force
 // changes with it.
 //
-// x holds the loads in the heartbeat. If it is nil, because they could not be
-// decoded, the member's previous loads are kept.
+// x holds the loads in the heartbeat. If it is nil, because there are none or they
+// cannot be decoded, the member's previous loads are kept.
 func (m *members) recordHeartbeat(from registrar.Member, h *framer.Heartbeat, x *loadReport, now, wall timekeeper.Millis) bool {
 	m.lock.Lock()
 	defer m.lock.Unlock()
--- a/internal/process/leader/summary.go
+++ b/internal/process/leader/summary.go
@@ -68,7 +68,7 @@
 func DecodeSummary(body []byte) (Summary, error) {
 	var s Summary
 	err := packer.Unpack(body, &s)
-	return s, eris.Wrap(err, "summary")
+	return s, eris.Wrap(err, "decode summary")
 }
 
 // Encode returns the body of a summary object.
--- a/internal/process/switcher/mechanisms.go
+++ b/internal/process/switcher/mechanisms.go
@@ -33,8 +33,8 @@
 	// FailureShares reduces the share of failing upstreams. Without it, they are treated
 	// like any other.
 	FailureShares
-	// BackOff avoids unreachable upstreams for a while. Without it, each request makes an
-	// attempt there.
+	// BackOff avoids upstreams that could not be reached. Without it, each request makes
+	// one attempt there.
 	BackOff
 	// FormerHomes records the earlier homes of a key. Without it, a key that leaves its
 	// home is placed by hash and load.
@@ -132,13 +132,13 @@
 		}
 		m, ok := find(name)
 		if !ok {
-			problems = append(problems, eris.Errorf("no mechanism %q", name))
+			problems = append(problems, eris.Errorf("unknown mechanism %q", name))
 			continue
 		}
 		s |= Of(m)
 	}
 	if len(problems) > 0 {
-		problems = append(problems, eris.Errorf("there are %s", strings.Join(names[:], ", ")))
+		problems = append(problems, eris.Errorf("known mechanisms: %s", strings.Join(names[:], ", ")))
 		return 0, errors.Join(problems...)
 	}
 	return s, nil
