--- a/internal/process/claimer/claimer.go
+++ b/internal/process/claimer/claimer.go
@@ -65,10 +65,10 @@
 	c.view = view
 	c.versions = versions
 	wanted, sites := c.owned(view, settings)
-	fresh := c.Owner.Set(wanted)
+	added := c.Owner.Set(wanted)
 	old := c.wanted
 	c.wanted = map[string]*claim{}
-	for _, u := range fresh {
+	for _, u := range added {
 		c.wanted[u] = &claim{site: sites[u], released: map[registrar.Incarnation]int{}}
 	}
 	for u, k := range old {
--- a/internal/process/leader/plan.go
+++ b/internal/process/leader/plan.go
@@ -30,8 +30,8 @@
 		summaries map[string]observedSummary
 		// summaryRevision is the revision up to which summaries were read.
 		summaryRevision storer.Revision
-		// last is the plan as last read or written, at its revision. They
-		// are valid only if known is set.
+		// last is the plan as last read or written, at its revision. Both are valid
+		// only if known is set.
 		last  planner.Plan
 		at    storer.Revision
 		known bool
@@ -58,7 +58,7 @@
 	p := plannerState{lease: lease, summaries: map[string]observedSummary{}}
 	t := time.NewTicker(planInterval)
 	defer t.Stop()
-	var under leaser.Fence
+	var activeFence leaser.Fence
 	for {
 		select {
 		case <-ctx.Done():
@@ -67,15 +67,15 @@
 		}
 		fence, held := lease.Held()
 		if !held {
-			under = 0
+			activeFence = 0
 			p.known = false
 			continue
 		}
-		if fence != under {
+		if fence != activeFence {
 			p.mover = planner.Mover{}
 		}
-		if l.plan(ctx, &p, fence, fence != under) {
-			under = fence
+		if l.plan(ctx, &p, fence, fence != activeFence) {
+			activeFence = fence
 		}
 	}
 }
