--- a/internal/connection/tracker/doc.go
+++ b/internal/connection/tracker/doc.go
@@ -1,4 +1,4 @@
-// Package tracker keeps what one daemon itself knows of each upstream: its
-// connections, the requests that it has there, the load that the upstream last
-// reported, how its latest requests ended, and the rate allowed while it is cold.
+// Package tracker holds what one daemon has observed of each upstream: its
+// connection pool, its requests in flight, the load that the upstream last
+// reported, recent outcomes, back-off, and the rate limit while it is cold.
 package tracker
--- a/internal/connection/tracker/set.go
+++ b/internal/connection/tracker/set.go
@@ -10,19 +10,19 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// Set holds the state of all upstreams. The zero value is ready once Dial is
-// set.
+// Set holds the state of all upstreams. The zero value is ready to use once
+// Dial is set.
 type Set struct {
 	Dial  func(ctx context.Context, address string) (net.Conn, error)
 	Clock timekeeper.Clock
-	// Counter returns what is told of the bytes to and from an upstream. Nil means that
-	// nobody wants to know.
+	// Counter returns the byte counter of an upstream. Nil means that bytes are
+	// not counted.
 	Counter func(u *cataloger.Upstream) sender.Counter
 
 	upstreams sync.Map
 }
 
-// Of returns the state of an upstream.
+// Of returns the state of an upstream and creates it on first use.
 func (s *Set) Of(u *cataloger.Upstream) *Upstream {
 	i := u.Incarnation()
 	if v, ok := s.upstreams.Load(i); ok {
@@ -42,8 +42,8 @@
 	return s.Counter(u)
 }
 
-// Sweep closes connections that have been idle for too long, and forgets the
-// upstreams that keep does not know any more.
+// Sweep closes connections whose keep-alive time is over, and removes the
+// upstreams for which keep returns false.
 func (s *Set) Sweep(keep func(cataloger.Incarnation) bool) {
 	s.upstreams.Range(func(k, v any) bool {
 		u := v.(*Upstream)
--- a/internal/connection/tracker/upstream.go
+++ b/internal/connection/tracker/upstream.go
@@ -12,104 +12,106 @@
 )
 
 const (
-	// firstBackOff is how long an upstream that was not reached gets nothing;
-	// it doubles up to lastBackOff.
-	firstBackOff = 250 * timekeeper.Millis(1)
-	lastBackOff  = 4 * timekeeper.Second
-
-	// reportLife is how long a reported load counts. It fades evenly, as the
-	// requests that were counted end: about one request's work time.
-	reportLife = 1000 * timekeeper.Millis(1)
-
-	// failWeight is the weight of the latest outcome in the running share of
-	// failures, and failLimit the share from which an upstream is spared: with
-	// these, three failures in a row.
-	failWeight = 0.15
-	failLimit  = 0.35
-	// spareFor is how often a failing upstream is tried all the same.
-	spareFor = 500 * timekeeper.Millis(1)
+	// initialBackOff is how long an upstream gets no requests after a failed
+	// dial. It doubles with each further failure, up to maxBackOff.
+	initialBackOff = 250 * timekeeper.Millis(1)
+	maxBackOff     = 4 * timekeeper.Second
+
+	// reportLifetime is the age at which a reported load no longer counts: about
+	// the service time of one request. Until then its weight falls linearly, as
+	// the requests in the report complete.
+	reportLifetime = 1000 * timekeeper.Millis(1)
+
+	// failureWeight is the weight of the latest outcome in the moving average of
+	// failures. An upstream is excluded while the average is above
+	// failureThreshold. With these values three consecutive failures exceed it.
+	failureWeight    = 0.15
+	failureThreshold = 0.35
+	// exclusionPeriod is the interval between trial requests to a failing upstream.
+	exclusionPeriod = 500 * timekeeper.Millis(1)
 )
 
 type (
-	// Report is the load that an upstream stated with an answer.
+	// Report is the load that an upstream reports with a response.
 	Report struct {
 		Running int
 		Waiting int
 		Slots   int
 	}
 
-	// Upstream is the state of one incarnation. Build it with Set.Of.
+	// Upstream is the state of one incarnation. Set.Of creates it.
 	Upstream struct {
 		Pool *sender.Pool
 
-		clock timekeeper.Clock
-		lock  sync.Mutex
-		own   int
+		clock    timekeeper.Clock
+		lock     sync.Mutex
+		inFlight int
 
 		report     Report
 		reportedAt timekeeper.Millis
 
-		gone      bool
+		replaced  bool
 		downUntil timekeeper.Millis
 		backOff   timekeeper.Millis
 
-		// failing is the running share of requests that it failed or refused, breaking of
-		// those that it failed.
-		failing    float64
-		breaking   float64
-		spareUntil timekeeper.Millis
+		// failureShare is the moving average of requests that failed or were
+		// refused, errorShare that of requests that failed. Both are from 0 to 1.
+		failureShare  float64
+		errorShare    float64
+		excludedUntil timekeeper.Millis
 
-		cold *rate.Limiter
+		limiter *rate.Limiter
 	}
 )
 
-// State returns what a choice needs to know.
+// State returns the input for the choice of an upstream.
 func (u *Upstream) State(known *cataloger.Upstream) placer.State {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return placer.State{
 		Slots:    max(known.Slots, u.report.Slots),
-		Own:      u.own,
-		Reported: u.reported(now),
-		Gone:     u.gone,
+		Own:      u.inFlight,
+		Reported: u.estimatedLoad(now),
+		Gone:     u.replaced,
 		Down:     now < u.downUntil,
-		Failing:  u.failing > failLimit && now < u.spareUntil,
+		Failing:  u.failureShare > failureThreshold && now < u.excludedUntil,
 
-		FailShare:  u.failing,
-		BreakShare: u.breaking,
+		FailShare:  u.failureShare,
+		BreakShare: u.errorShare,
 	}
 }
 
-// reported is the stated load, faded with its age, and never below what this
-// daemon itself has there. The caller holds the lock.
-func (u *Upstream) reported(now timekeeper.Millis) float64 {
+// estimatedLoad returns the reported load, weighted by its age, and at least this
+// daemon's own requests in flight. The caller holds the lock.
+func (u *Upstream) estimatedLoad(now timekeeper.Millis) float64 {
 	age := now - u.reportedAt
 	load := 0.0
-	if age < reportLife {
-		load = float64(u.report.Running+u.report.Waiting) * float64(reportLife-age) / float64(reportLife)
+	if age < reportLifetime {
+		load = float64(u.report.Running+u.report.Waiting) * float64(reportLifetime-age) / float64(reportLifetime)
 	}
-	return max(load, float64(u.own))
+	return max(load, float64(u.inFlight))
 }
 
-// Begin counts a request that is about to be sent.
+// Begin counts a request that is about to be sent, and excludes a failing upstream
+// from further requests for exclusionPeriod.
 func (u *Upstream) Begin() {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	u.own++
-	if u.failing > failLimit {
-		u.spareUntil = u.clock.Now() + spareFor
+	u.inFlight++
+	if u.failureShare > failureThreshold {
+		u.excludedUntil = u.clock.Now() + exclusionPeriod
 	}
 }
 
-// End counts a request that ended.
+// End counts a request that is no longer in flight.
 func (u *Upstream) End() {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	u.own--
+	u.inFlight--
 }
 
-// Note records a stated load.
+// Note records a reported load.
 func (u *Upstream) Note(r Report) {
 	now := u.clock.Now()
 	u.lock.Lock()
@@ -117,92 +119,95 @@
 	u.report, u.reportedAt = r, now
 }
 
-// Reached records that the upstream answered at all, and whether the answer was
-// a failure.
+// Reached records a response, and whether it was a failure. It ends the back-off.
 func (u *Upstream) Reached(failed bool) {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	u.backOff, u.downUntil = 0, 0
-	u.judge(failed, failed, now)
+	u.recordOutcome(failed, failed, now)
 }
 
-// Refused records that the upstream answered that it did not run a request.
+// Refused records a response that says that the request did not run. It ends the
+// back-off.
 func (u *Upstream) Refused() {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	u.backOff, u.downUntil = 0, 0
-	u.judge(true, false, now)
+	u.recordOutcome(true, false, now)
 }
 
-// Lost records that a request was sent and got no answer.
+// Lost records that a request was sent and no response came.
 func (u *Upstream) Lost() {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	u.judge(true, true, now)
+	u.recordOutcome(true, true, now)
 }
 
-// Unreached records that no connection could be opened.
+// Unreached records a failed dial and starts or doubles the back-off.
 func (u *Upstream) Unreached() {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	u.backOff = min(max(u.backOff*2, firstBackOff), lastBackOff)
+	u.backOff = min(max(u.backOff*2, initialBackOff), maxBackOff)
 	u.downUntil = now + u.backOff
-	u.judge(true, true, now)
+	u.recordOutcome(true, true, now)
 }
 
-// Misdirected records that another incarnation answers at the address, and tells whether
-// that is news.
+// Misdirected records that another incarnation responds at the address, and reports
+// whether that was not known before.
 func (u *Upstream) Misdirected() bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	news := !u.gone
-	u.gone = true
-	return news
+	first := !u.replaced
+	u.replaced = true
+	return first
 }
 
-// judge notes whether a request failed or was refused, and whether it failed.
-func (u *Upstream) judge(failed, broke bool, now timekeeper.Millis) {
-	u.failing += (share(failed) - u.failing) * failWeight
-	u.breaking += (share(broke) - u.breaking) * failWeight
-	if u.failing > failLimit {
-		u.spareUntil = now + spareFor
+// recordOutcome adds an outcome to the moving averages: failed means failed or
+// refused, errored means failed. The caller holds the lock.
+func (u *Upstream) recordOutcome(failed, errored bool, now timekeeper.Millis) {
+	u.failureShare += (indicator(failed) - u.failureShare) * failureWeight
+	u.errorShare += (indicator(errored) - u.errorShare) * failureWeight
+	if u.failureShare > failureThreshold {
+		u.excludedUntil = now + exclusionPeriod
 	}
 }
 
-// share is that of one outcome.
-func share(happened bool) float64 {
+// indicator returns 1 if the event happened, and 0 otherwise.
+func indicator(happened bool) float64 {
 	if happened {
 		return 1
 	}
 	return 0
 }
 
-// MayWarm tells whether a rate allows one more request while the upstream is cold.
+// MayWarm reports whether the rate limit allows one more request while the upstream
+// is cold. It takes no token.
 func (u *Upstream) MayWarm(perSecond float64, burst int) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	return u.coldRate(perSecond, burst).Tokens() >= 1
+	return u.coldLimiter(perSecond, burst).Tokens() >= 1
 }
 
-// Warm takes one request of the rate allowed while the upstream is cold, and reports
-// false if there is none left.
+// Warm takes one token from the rate limit while the upstream is cold, and reports
+// whether there was one.
 func (u *Upstream) Warm(perSecond float64, burst int) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
-	return u.coldRate(perSecond, burst).Allow()
+	return u.coldLimiter(perSecond, burst).Allow()
 }
 
-// coldRate returns the limiter of requests while cold. The caller holds the lock.
-func (u *Upstream) coldRate(perSecond float64, burst int) *rate.Limiter {
-	if u.cold == nil {
-		u.cold = rate.NewLimiter(rate.Limit(perSecond), burst)
+// coldLimiter returns the rate limiter of requests while the upstream is cold, set to
+// perSecond. The caller holds the lock.
+func (u *Upstream) coldLimiter(perSecond float64, burst int) *rate.Limiter {
+	if u.limiter == nil {
+		u.limiter = rate.NewLimiter(rate.Limit(perSecond), burst)
 	}
-	if u.cold.Limit() != rate.Limit(perSecond) {
-		u.cold.SetLimit(rate.Limit(perSecond))
+	if u.limiter.Limit() != rate.Limit(perSecond) {
+		u.limiter.SetLimit(rate.Limit(perSecond))
 	}
-	return u.cold
+	return u.limiter
 }
