--- a/internal/connection/pooler/dark_test.go
+++ b/internal/connection/pooler/availability_test.go
@@ -12,11 +12,11 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// TestDetourStaysBelowLimit fills half of the slots with requests of another site:
-// the limit lets no more of them in, but those of this site.
+// TestDetourStaysBelowLimit fills half of the slots, which is the limit, with requests
+// from another site. Further ones are refused, while requests of this site are served.
 func TestDetourStaysBelowLimit(t *testing.T) {
 	is := is.New(t)
-	address, entered, leave := startHeld(t)
+	address, entered, leave := startBlocking(t)
 	set := settings(4, 10, address)
 	set.Limit = 0.5
 	o, _ := newOwner(set)
@@ -42,8 +42,9 @@
 	}
 }
 
-// TestDarkPoolRefusesAtOnce has upstreams where nobody listens: once all have been
-// tried nobody waits for them, and callers are told when one is tried again.
+// TestDarkPoolRefusesAtOnce checks that a pool whose only upstream refuses connections
+// does not queue requests: after the first failed dial they are refused until the
+// back-off ends, with its rest as the retry delay.
 func TestDarkPoolRefusesAtOnce(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/connection/pooler/buffer.go
+++ b/internal/connection/pooler/buffer.go
@@ -6,5 +6,5 @@
 	"github.com/gullvale/gullvale/internal/connection/framer"
 )
 
-// chunks holds the buffers through which answers are copied.
-var chunks = sync.Pool{New: func() any { return new([framer.ChunkBytes]byte) }}
+// chunkBuffers holds the buffers for copying response bodies.
+var chunkBuffers = sync.Pool{New: func() any { return new([framer.ChunkBytes]byte) }}
--- a/internal/connection/pooler/dial_test.go
+++ b/internal/connection/pooler/dial_test.go
@@ -18,15 +18,15 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// gate is a dialer whose dials hang until it is opened, but for those that may
-// pass.
+// gate is a dialer whose dials hang until it is opened, except those for which passes
+// returns true.
 type gate struct {
 	begun  atomic.Int64
 	passes func(nth int64) bool
 	open   chan struct{}
 }
 
-// newGate returns a gate that opens when the test ends.
+// newGate returns a gate that opens at the end of the test.
 func newGate(t *testing.T, passes func(nth int64) bool) *gate {
 	t.Helper()
 	g := &gate{passes: passes, open: make(chan struct{})}
@@ -45,15 +45,15 @@
 	return new(net.Dialer).DialContext(ctx, "tcp", address)
 }
 
-// newGatedOwner is newOwner with connections through a gate.
+// newGatedOwner is newOwner with connections that are dialled through a gate.
 func newGatedOwner(s *resolver.Service, g *gate) *pooler.Owner {
 	c := &clock{}
 	o := &pooler.Owner{Clock: timekeeper.Clock{Monotonic: c.reading}, Dial: g.dial}
-	own(o, c, s)
+	ownUpstreams(o, c, s)
 	return o
 }
 
-// start begins calls, each of which sends its result.
+// start starts calls and returns a channel that receives their results.
 func start(ctx context.Context, o *pooler.Owner, calls int) chan exchanger.Result {
 	results := make(chan exchanger.Result, calls)
 	for range calls {
@@ -62,21 +62,20 @@
 	return results
 }
 
-// awaitBusy waits until so many slots are held.
+// awaitBusy waits until the given number of slots is busy.
 func awaitBusy(o *pooler.Owner, busy int) {
 	for o.Pools()[key].Load().Busy != busy {
 		runtime.Gosched()
 	}
 }
 
-// TestOvertakenDialsAreCounted lets the first dial through while all others hang,
-// so calls in threes are answered over one connection: each is given it before its
-// own dial ends. Dials under way count as connections, so the next calls begin
-// none beyond the slots and a spare one.
+// TestOvertakenDialsAreCounted checks that pending dials count as connections. Only the
+// first dial succeeds, so each call gets its connection before its own dial ends. Further
+// calls must not start dials beyond the number of slots and one spare.
 func TestOvertakenDialsAreCounted(t *testing.T) {
 	is := is.New(t)
 	const slots = 3
-	address, entered, leave := startHeld(t)
+	address, entered, leave := startBlocking(t)
 	g := newGate(t, func(nth int64) bool { return nth == 1 })
 	o := newGatedOwner(settings(slots, 10, address), g)
 	for range 10 {
@@ -95,12 +94,12 @@
 	is.True(begun <= slots+1)
 }
 
-// TestHungDialHoldsNoSlot has a dial hang whose call was answered over another
-// connection. All slots can be used all the same.
+// TestHungDialHoldsNoSlot checks that all slots remain usable while the dial of a call
+// hangs that was served over another connection.
 func TestHungDialHoldsNoSlot(t *testing.T) {
 	is := is.New(t)
 	const slots = 2
-	address, entered, leave := startHeld(t)
+	address, entered, leave := startBlocking(t)
 	g := newGate(t, func(nth int64) bool { return nth != 2 })
 	o := newGatedOwner(settings(slots, 10, address), g)
 	first := start(context.Background(), o, 1)
@@ -117,12 +116,12 @@
 	useAllSlots(t, o, slots, entered, leave)
 }
 
-// TestCancelledDialHoldsNoSlot cancels more calls whose dials hang than an upstream
-// may have connections. All slots can be used after that.
+// TestCancelledDialHoldsNoSlot checks that all slots are usable after calls with hanging
+// dials were cancelled, more of them than an upstream may have connections.
 func TestCancelledDialHoldsNoSlot(t *testing.T) {
 	is := is.New(t)
 	const slots, cancelled = 2, 10
-	address, entered, leave := startHeld(t)
+	address, entered, leave := startBlocking(t)
 	g := newGate(t, func(nth int64) bool { return nth > cancelled })
 	o := newGatedOwner(settings(slots, 10, address), g)
 	for i := range int64(cancelled) {
@@ -137,8 +136,8 @@
 	useAllSlots(t, o, slots, entered, leave)
 }
 
-// TestProbeNeedsNoSlot probes an upstream all of whose connections for requests are
-// in use, but for one that hangs.
+// TestProbeNeedsNoSlot checks that a probe succeeds while all connections for requests
+// are in use or hang in their dial.
 func TestProbeNeedsNoSlot(t *testing.T) {
 	is := is.New(t)
 	const slots = 2
--- a/internal/connection/pooler/discard.go
+++ b/internal/connection/pooler/discard.go
@@ -9,28 +9,27 @@
 )
 
 const (
-	// maxDiscard is the longest body, in bytes, that is read although nobody wants
-	// it. Explanations of refusals and health are shorter, and it is less than the
-	// transport reads at once (4 KB), so mostly it is there with the head.
-	maxDiscard = 2 << 10
+	// maxDiscardBytes is the longest body that is read and discarded. The bodies
+	// of refusals and health checks are shorter, and it is less than the transport
+	// reads at once (4 KB), so the body has mostly arrived with the head.
+	maxDiscardBytes = 2 << 10
 
-	// discardTimeout is how long such a body may take: the caller of a refused
+	// discardTimeout bounds the read of such a body, since the caller of a refused
 	// request waits for it.
 	discardTimeout = 50 * timekeeper.Millis(1)
 )
 
-// discard ends an answer whose body nobody wants. The transport keeps a connection
-// only if the body was read to its end: closed unread, each refusal and each probe
-// with a body cost the upstream another connection (10 dials for 10 refusals and 5
-// for 5 probes, with it 1 each: TestRefusalKeepsItsConnection,
-// TestProbeKeepsItsConnection).
+// discard reads and closes a response body that is not needed. The transport reuses a
+// connection only if the body was read to its end. If bodies are closed unread, 10
+// refusals take 10 dials and 5 probes take 5, instead of 1 each
+// (TestRefusalKeepsItsConnection, TestProbeKeepsItsConnection).
 func discard(r *http.Response) {
 	defer r.Body.Close()
-	if r.ContentLength < 0 || r.ContentLength > maxDiscard {
+	if r.ContentLength < 0 || r.ContentLength > maxDiscardBytes {
 		return
 	}
 	t := time.AfterFunc(discardTimeout.Duration(), func() { r.Body.Close() })
 	defer t.Stop()
-	// An error means that the connection is lost, which the transport sees too.
+	// On an error the connection is lost, and the transport drops it.
 	_, _ = io.Copy(io.Discard, r.Body)
 }
--- a/internal/connection/pooler/discard_test.go
+++ b/internal/connection/pooler/discard_test.go
@@ -15,9 +15,9 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// startWordy starts an upstream that refuses every request and answers every probe,
-// with a body that nobody wants.
-func startWordy(t *testing.T, body string) string {
+// startWithBody starts an upstream that refuses every request and passes every probe,
+// with the given body in each response.
+func startWithBody(t *testing.T, body string) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/health" {
@@ -30,11 +30,11 @@
 	return s.Listener.Addr().String()
 }
 
-// TestRefusalKeepsItsConnection has an upstream explain its refusals.
+// TestRefusalKeepsItsConnection checks that refusals with a body take one connection.
 func TestRefusalKeepsItsConnection(t *testing.T) {
 	is := is.New(t)
 	g := newGate(t, func(int64) bool { return true })
-	o := newGatedOwner(settings(1, 1, startWordy(t, "all slots are in use\n")), g)
+	o := newGatedOwner(settings(1, 1, startWithBody(t, "all slots are in use\n")), g)
 	for range 10 {
 		r := o.Run(context.Background(), call("x", nil, io.Discard))
 		is.Equal(r.Reason, exchanger.ReasonUpstreamBusy)
@@ -42,7 +42,8 @@
 	is.Equal(g.begun.Load(), int64(1))
 }
 
-// TestProbeKeepsItsConnection has an upstream answer probes with a word.
+// TestProbeKeepsItsConnection checks that probes with a body in the response take one
+// connection.
 func TestProbeKeepsItsConnection(t *testing.T) {
 	is := is.New(t)
 	g := newGate(t, func(int64) bool { return true })
@@ -50,7 +51,7 @@
 	o := &pooler.Owner{Clock: timekeeper.Clock{Monotonic: c.reading}, Dial: g.dial}
 	probed := make(chan bool, 10)
 	o.Probed = func(_ pooler.Key, _ string, ok bool) { probed <- ok }
-	own(o, c, settings(1, 1, startWordy(t, "healthy\n")))
+	ownUpstreams(o, c, settings(1, 1, startWithBody(t, "healthy\n")))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go o.RunUpkeep(ctx)
@@ -61,8 +62,8 @@
 	is.Equal(g.begun.Load(), int64(1))
 }
 
-// TestRefusalDoesNotWaitForItsBody has refusals whose bodies do not end or do not
-// come.
+// TestRefusalDoesNotWaitForItsBody checks that a refusal is returned although its body
+// does not end or does not arrive.
 func TestRefusalDoesNotWaitForItsBody(t *testing.T) {
 	for _, x := range []struct{ name, length string }{
 		{"never ends", ""},
--- a/internal/connection/pooler/doc.go
+++ b/internal/connection/pooler/doc.go
@@ -1,8 +1,7 @@
-// Package pooler holds the upstreams that this daemon owns: their slots, the
-// requests that wait for one, their connections and their probes.
+// Package pooler manages the upstreams that this daemon owns: their slots, the
+// requests queued for a slot, their connections and their probes.
 //
 // Since an upstream has one owner, the counts here are exact: an upstream never
-// has more requests from the fleet than it has slots. A request waits here and
-// not at its entry, so the first slot that comes free serves the first request
-// in line.
+// has more requests from the fleet than it has slots. Requests queue at the owner
+// and not at their entry, so the first free slot goes to the head of the queue.
 package pooler
--- a/internal/connection/pooler/pace_test.go
+++ b/internal/connection/pooler/holdtime_test.go
@@ -12,16 +12,16 @@
 	"github.com/gullvale/gullvale/internal/request/exchanger"
 )
 
-// TestNoTimeIsRefusedAtOnce has one slot that is held for a second at a time: a
-// request with less time than that is refused before it waits, and told when to
-// come back; one with enough time waits and is answered.
+// TestNoTimeIsRefusedAtOnce has one slot that is held for a second per request. While
+// it is busy, a request with too short a deadline is refused at once with a retry
+// delay, and one with a long deadline waits and is served.
 func TestNoTimeIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	address, entered, leave := startHeld(t)
+	address, entered, leave := startBlocking(t)
 	o, c := newOwner(settings(1, 10, address))
 	results := make(chan exchanger.Result, 2)
 	run := func() { results <- o.Run(context.Background(), call("x", nil, io.Discard)) }
-	// The first request teaches the pool its pace.
+	// The first request sets the mean hold time of the pool.
 	go run()
 	<-entered
 	c.now.Add(1000)
@@ -29,17 +29,17 @@
 	is.Equal((<-results).Outcome, exchanger.Answered)
 	go run()
 	<-entered
-	hasty := call("y", nil, io.Discard)
-	hasty.Deadline = c.reading() + 1500
-	r := o.Run(context.Background(), hasty)
+	urgent := call("y", nil, io.Discard)
+	urgent.Deadline = c.reading() + 1500
+	r := o.Run(context.Background(), urgent)
 	is.Equal(r.Outcome, exchanger.NotRun)
 	is.Equal(r.Reason, exchanger.ReasonNoTime)
 	is.True(r.RetryAfter > 0)
-	patient := call("z", nil, io.Discard)
-	patient.Deadline = c.reading() + 60000
-	go func() { results <- o.Run(context.Background(), patient) }()
+	relaxed := call("z", nil, io.Discard)
+	relaxed.Deadline = c.reading() + 60000
+	go func() { results <- o.Run(context.Background(), relaxed) }()
 	for free, _ := o.Free(key); free != -1; free, _ = o.Free(key) {
-		_ = free // it waits in line as soon as free is -1
+		_ = free // the request is queued once free is -1
 	}
 	leave <- struct{}{}
 	<-entered
@@ -48,15 +48,15 @@
 	is.Equal((<-results).Outcome, exchanger.Answered)
 }
 
-// failing answers every request but probes with an error.
-func failing(w http.ResponseWriter, r *http.Request) {
+// failRequests responds to all requests except probes with a server error.
+func failRequests(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/health" {
 		w.WriteHeader(http.StatusInternalServerError)
 	}
 }
 
-// TestFailingUpstreamIsLeftAlone has one upstream of four fail everything, and
-// then all of them: the one is taken out, the rest never are below two thirds.
+// TestFailingUpstreamIsLeftAlone checks that a failing upstream is ejected, but never
+// more than a third of a pool, also if all of its upstreams fail.
 func TestFailingUpstreamIsLeftAlone(t *testing.T) {
 	for _, x := range []struct {
 		name  string
@@ -76,7 +76,7 @@
 				}
 				h := func(http.ResponseWriter, *http.Request) {}
 				if i < x.bad {
-					h = failing
+					h = failRequests
 				}
 				s := httptest.NewServer(http.HandlerFunc(h))
 				defer s.Close()
--- a/internal/connection/pooler/outlier.go
+++ b/internal/connection/pooler/outlier.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	// failureWeight is how much of the failing part one request makes up, and
-	// failureLimit from which part on an upstream is taken out.
-	failureWeight = 1.0 / 8
-	failureLimit  = 0.6
+	// failureWeight is the weight of the latest request in the moving average of
+	// failures. From failureThreshold on an upstream is ejected.
+	failureWeight    = 1.0 / 8
+	failureThreshold = 0.6
 
-	// ejectedPart is which part of a pool, one over it, may be out for its
-	// failures at a time: whatever makes all of them fail is not theirs.
-	ejectedPart = 3
+	// ejectionDivisor bounds ejections: at most one in ejectionDivisor of the usable
+	// upstreams of a pool may be out at a time. What makes all of them fail is no
+	// fault of a single upstream.
+	ejectionDivisor = 3
 )
 
-// judge takes in how a request to u ended. An upstream that mostly fails while
-// others do not is left alone for a while, as if it had not been reached.
-func (p *Pool) judge(u *upstream, failed bool) {
+// recordOutcome adds the outcome of a request to the failure share of u. An upstream
+// that mostly fails while others do not is ejected: it gets the back-off of a failed dial.
+func (p *Pool) recordOutcome(u *upstream, failed bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if !failed {
-		u.failing -= u.failing * failureWeight
+		u.failureShare -= u.failureShare * failureWeight
 		return
 	}
-	u.failing += (1 - u.failing) * failureWeight
-	if u.failing < failureLimit || !p.mayEject() {
+	u.failureShare += (1 - u.failureShare) * failureWeight
+	if u.failureShare < failureThreshold || !p.mayEject() {
 		return
 	}
-	u.fail(p.clock.Now())
-	u.failing = 0
+	u.startBackOff(p.clock.Now())
+	u.failureShare = 0
 	p.ejections++
 }
 
-// mayEject tells whether one more upstream may be taken out. The caller holds the
+// mayEject reports whether one more upstream may be ejected. The caller holds the
 // lock.
 func (p *Pool) mayEject() bool {
 	now := p.clock.Now()
 	all, out := 0, 0
 	for _, u := range p.upstreams {
-		if u.removed || u.leaving || u.listed || !u.claimed {
+		if u.removed || u.draining || u.vmLeaving || !u.claimed {
 			continue
 		}
 		all++
@@ -49,11 +50,11 @@
 			out++
 		}
 	}
-	return (out+1)*ejectedPart <= all
+	return (out+1)*ejectionDivisor <= all
 }
 
-// isFailure tells whether a request ended as one that says something about its
-// upstream.
+// isFailure reports whether the outcome of a request counts as a failure of its
+// upstream: a lost connection, or a status of 500 or above.
 func isFailure(r exchanger.Result, status int) bool {
 	lost := r.Reason == exchanger.ReasonUpstreamLost || r.Reason == exchanger.ReasonUpstreamEnded
 	return lost || status >= http.StatusInternalServerError
--- a/internal/connection/pooler/owner.go
+++ b/internal/connection/pooler/owner.go
@@ -13,40 +13,40 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// tick is how often ramps, returns from back-off and probes are looked at.
-const tick = 50 * time.Millisecond
+// upkeepInterval is how often ramp-up, the end of back-offs and due probes are checked.
+const upkeepInterval = 50 * time.Millisecond
 
 type (
-	// Key names a pool.
+	// Key identifies a pool.
 	Key struct {
 		Site    registrar.Site
 		Service resolver.ServiceName
 	}
 
-	// Owned is the upstreams that the owner is to have in one pool.
+	// Owned describes one pool: its settings and the addresses of the upstreams to own.
 	Owned struct {
 		Settings  *resolver.Service
 		Upstreams []string
 	}
 
-	// Admission tells right before a call is sent whether it may not go, and its result then.
+	// Admission is called right before a call is sent. It reports whether the call is
+	// refused, with the result in that case.
 	Admission func(*exchanger.Call) (exchanger.Result, bool)
 
-	// Owner holds the pools of one daemon. The zero value owns nothing.
+	// Owner holds the pools of one daemon. The zero value has no pools.
 	Owner struct {
 		Clock timekeeper.Clock
-		// Dial opens a connection to an upstream. Nil means over TCP, within
-		// dialTimeout.
+		// Dial opens a connection to an upstream. Nil means TCP with dialTimeout.
 		Dial func(ctx context.Context, address string) (net.Conn, error)
-		// Valid tells whether this daemon may send to upstreams. Nil means
+		// Valid reports whether this daemon may send to upstreams. Nil means
 		// always.
 		Valid func() bool
-		// Admit is asked right before a call is sent. Nil admits all.
+		// Admit is called right before a call is sent. Nil admits all calls.
 		Admit Admission
-		// Changed is called when the free slots of a pool changed. It must not
-		// block. Nil means nobody wants to know.
+		// Changed, if not nil, is called when the number of free slots of a pool
+		// may have changed. It must not block.
 		Changed func(Key)
-		// Probed is called after each probe. Nil means nobody wants to know.
+		// Probed, if not nil, is called after each probe.
 		Probed func(k Key, upstream string, ok bool)
 
 		lock    sync.RWMutex
@@ -56,9 +56,9 @@
 	}
 )
 
-// Set makes the owner have exactly the given upstreams. One that it did not
-// have is unclaimed until Claimed says that nobody else sends to it. It returns
-// the addresses that are new.
+// Set makes the owner own exactly the given upstreams. A new one is unclaimed and
+// gets no requests until Claimed confirms that no other daemon sends to it. Set
+// returns the addresses that are unclaimed.
 func (o *Owner) Set(wanted map[Key]Owned) []string {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -66,22 +66,22 @@
 		o.pools = map[Key]*Pool{}
 		o.probes = map[string]timekeeper.Millis{}
 	}
-	var fresh []string
+	var unclaimed []string
 	for k, w := range wanted {
 		p := o.pools[k]
 		if p == nil {
 			p = newPool(o.Clock, w.Settings, o.dialer(), func() { o.changed(k) })
 			o.pools[k] = p
 		}
-		fresh = append(fresh, p.set(w)...)
-		p.setListed(o.leaving)
+		unclaimed = append(unclaimed, p.set(w)...)
+		p.setLeavingVMs(o.leaving)
 	}
 	for k, p := range o.pools {
 		if _, ok := wanted[k]; !ok {
 			p.set(Owned{Settings: p.settings})
 		}
 	}
-	return fresh
+	return unclaimed
 }
 
 func (o *Owner) dialer() dialer {
@@ -95,14 +95,14 @@
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.settings = w.Settings
-	have := map[string]*upstream{}
+	current := map[string]*upstream{}
 	for _, u := range p.upstreams {
 		u.removed = true
-		have[u.address] = u
+		current[u.address] = u
 	}
-	var fresh []string
+	var unclaimed []string
 	for _, a := range w.Upstreams {
-		u := have[a]
+		u := current[a]
 		if u == nil {
 			u = newUpstream(a, w.Settings.Slots, p.clock.Now(), p.dial)
 			p.upstreams = append(p.upstreams, u)
@@ -110,23 +110,23 @@
 		u.removed = false
 		u.resize(w.Settings.Slots, p.dial)
 		if !u.claimed {
-			fresh = append(fresh, a)
+			unclaimed = append(unclaimed, a)
 		}
 	}
 	for _, u := range p.upstreams {
-		// Whoever owns it now will have asked for it. To own it again takes
-		// another claim.
+		// The new owner of a removed upstream has claimed it. Owning it again
+		// takes another claim.
 		u.claimed = u.claimed && !u.removed
 	}
 	p.prune()
-	p.serve()
-	return fresh
+	p.grantSlots()
+	return unclaimed
 }
 
-// Claimed tells that the former owners of an upstream have stopped sending to
-// it, with busy requests still there.
+// Claimed records that the former owners of an upstream have stopped sending to
+// it and still have busy requests in flight there.
 func (o *Owner) Claimed(address string, busy int) {
-	o.each(address, func(p *Pool, u *upstream) {
+	o.forEach(address, func(p *Pool, u *upstream) {
 		if u.removed {
 			return
 		}
@@ -134,46 +134,46 @@
 			u.upSince = p.clock.Now()
 		}
 		u.claimed = true
-		u.elsewhere = busy
-		p.serve()
+		u.formerBusy = busy
+		p.grantSlots()
 	})
 }
 
-// Release stops sending to an upstream for good, until it is claimed anew, and
-// returns how many requests this daemon still has there.
+// Release stops sending to an upstream until it is claimed again, and returns how
+// many requests this daemon still has in flight there.
 func (o *Owner) Release(address string) int {
 	busy := 0
-	o.each(address, func(_ *Pool, u *upstream) {
+	o.forEach(address, func(_ *Pool, u *upstream) {
 		u.claimed = false
 		busy += u.busy
 	})
 	return busy
 }
 
-// SetLeaving tells the IP numbers of VMs that leave. Upstreams there get nothing
-// new, whatever they say themselves.
+// SetLeaving sets the IP addresses of leaving VMs. Upstreams there get no new
+// requests, even if they do not announce that they drain.
 func (o *Owner) SetLeaving(addresses map[string]bool) {
 	o.lock.Lock()
 	o.leaving = addresses
 	o.lock.Unlock()
 	for k, p := range o.snapshot() {
-		p.setListed(addresses)
+		p.setLeavingVMs(addresses)
 		o.changed(k)
 	}
 }
 
-func (p *Pool) setListed(addresses map[string]bool) {
+func (p *Pool) setLeavingVMs(addresses map[string]bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	for _, u := range p.upstreams {
 		host, _, _ := net.SplitHostPort(u.address)
-		u.listed = addresses[host]
+		u.vmLeaving = addresses[host]
 	}
-	p.serve()
+	p.grantSlots()
 }
 
-// each calls f under the pool's lock for the upstream with the address.
-func (o *Owner) each(address string, f func(*Pool, *upstream)) {
+// forEach calls f for each upstream with the address, holding the lock of its pool.
+func (o *Owner) forEach(address string, f func(*Pool, *upstream)) {
 	for k, p := range o.snapshot() {
 		p.lock.Lock()
 		found := false
@@ -190,7 +190,7 @@
 	}
 }
 
-// Run runs a call on the pool of its service and site.
+// Run sends a call to an upstream of the pool of its service and site.
 func (o *Owner) Run(ctx context.Context, c *exchanger.Call) exchanger.Result {
 	o.lock.RLock()
 	p := o.pools[Key{c.Site, c.Service}]
@@ -201,12 +201,12 @@
 	return p.Run(ctx, c, o.valid, o.admit)
 }
 
-// KeyOf is the key of the pool that a call needs a slot of.
+// KeyOf returns the key of the pool in which a call needs a slot.
 func KeyOf(c *exchanger.Call) Key {
 	return Key{Site: c.Site, Service: c.Service}
 }
 
-// Free returns the free slots and slots of a pool.
+// Free returns the free slots and all usable slots of a pool. See Pool.Free.
 func (o *Owner) Free(k Key) (free, slots int) {
 	o.lock.RLock()
 	p := o.pools[k]
@@ -217,7 +217,7 @@
 	return p.Free()
 }
 
-// Pools returns the pools there are.
+// Pools returns a copy of the map of pools.
 func (o *Owner) Pools() map[Key]*Pool {
 	return o.snapshot()
 }
@@ -249,19 +249,19 @@
 	}
 }
 
-// RunUpkeep sees to ramps, returns from back-off and probes until ctx ends.
+// RunUpkeep handles ramp-up, the end of back-offs and probes until ctx ends.
 func (o *Owner) RunUpkeep(ctx context.Context) {
-	timekeeper.Every(ctx, tick, func() { o.upkeep(ctx) })
+	timekeeper.Every(ctx, upkeepInterval, func() { o.upkeep(ctx) })
 }
 
 func (o *Owner) upkeep(ctx context.Context) {
 	for k, p := range o.snapshot() {
 		before, _ := p.Free()
-		for _, u := range p.due(o.probes) {
+		for _, u := range p.dueProbes(o.probes) {
 			go o.runProbe(ctx, k, p, u)
 		}
 		p.lock.Lock()
-		p.serve()
+		p.grantSlots()
 		p.lock.Unlock()
 		if after, _ := p.Free(); after != before {
 			o.changed(k)
@@ -269,8 +269,9 @@
 	}
 }
 
-// due returns the upstreams whose probe is due and notes the next time.
-func (p *Pool) due(probes map[string]timekeeper.Millis) []*upstream {
+// dueProbes returns the upstreams whose probe is due and schedules their next one in
+// probes.
+func (p *Pool) dueProbes(probes map[string]timekeeper.Millis) []*upstream {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	now := p.clock.Now()
@@ -285,9 +286,9 @@
 	return out
 }
 
-// runProbe asks one upstream for its health. A probe may only add to what
-// answers say: it marks an upstream as leaving or as back, never as healthy
-// against a failed dial.
+// runProbe sends a health check to one upstream. A probe only supplements what
+// responses show: it marks an upstream as draining or as back, and never clears
+// the back-off of a failed dial early.
 func (o *Owner) runProbe(ctx context.Context, k Key, p *Pool, u *upstream) {
 	p.lock.Lock()
 	s := p.settings
@@ -298,11 +299,11 @@
 	if err != nil {
 		return
 	}
-	r, err := u.probes.RoundTrip(q)
+	r, err := u.probeTransport.RoundTrip(q)
 	ok := err == nil && r.StatusCode < http.StatusInternalServerError
 	if err == nil {
-		leaving := r.Header.Get(s.DrainHeader) != ""
-		p.observe(u, leaving, ok)
+		draining := r.Header.Get(s.DrainHeader) != ""
+		p.recordResponse(u, draining, ok)
 		discard(r)
 	} else if ctx.Err() == nil {
 		p.markDown(u)
@@ -313,45 +314,46 @@
 	o.changed(k)
 }
 
-// leaves tells whether u was to end anyway.
-func (p *Pool) leaves(u *upstream) bool {
+// isLeaving reports whether u is expected to terminate or is no longer owned.
+func (p *Pool) isLeaving(u *upstream) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	return u.leaving || u.listed || u.removed
+	return u.draining || u.vmLeaving || u.removed
 }
 
-// markDown takes u out of use until its back-off ends.
+// markDown starts a back-off of u unless one is under way.
 func (p *Pool) markDown(u *upstream) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if p.clock.Now() >= u.downUntil {
-		u.fail(p.clock.Now())
-		p.serve()
+		u.startBackOff(p.clock.Now())
+		p.grantSlots()
 	}
 }
 
-// observe notes an answer of u, and whether it did well. The first answer without the mark of leaving
-// brings an upstream back that had it.
-func (p *Pool) observe(u *upstream, leaving, well bool) {
+// recordResponse records whether a response of u announces that it drains, and resets the
+// back-off after a healthy one, which is any but a server error. The first response
+// without the announcement brings a draining upstream back, with a new ramp-up.
+func (p *Pool) recordResponse(u *upstream, draining, healthy bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if well {
-		u.succeed()
+	if healthy {
+		u.resetBackOff()
 	}
-	if u.leaving && !leaving {
+	if u.draining && !draining {
 		u.upSince = p.clock.Now()
 	}
-	u.leaving = leaving
-	if leaving {
-		p.serve()
+	u.draining = draining
+	if draining {
+		p.grantSlots()
 	}
 }
 
-// transport returns the transport for requests to u.
-func (p *Pool) transport(u *upstream) *http.Transport {
+// requestTransport returns the transport for requests to u, which resize may replace.
+func (p *Pool) requestTransport(u *upstream) *http.Transport {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	return u.requests
+	return u.requestTransport
 }
 
 func (p *Pool) refusalHeader() string {
--- a/internal/connection/pooler/pool.go
+++ b/internal/connection/pooler/pool.go
@@ -11,44 +11,47 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// retryAfter is when a caller that was refused for want of an upstream should come
-// back.
+// retryAfter is the retry delay of a caller whose request was refused since no upstream
+// was available.
 const retryAfter = timekeeper.Second
 
 type (
-	// Pool is the owned upstreams of one service at one site.
+	// Pool holds the owned upstreams of one service at one site and the queue for
+	// their slots.
 	Pool struct {
 		clock timekeeper.Clock
 		dial  dialer
 
-		lock      sync.Mutex
-		settings  *resolver.Service
-		upstreams []*upstream
-		waiting   *list.List
-		work      map[registrar.Site]timekeeper.Millis
-		peak      int
-		notify    func()
-		// pace is how long a slot is held on average, in milliseconds.
-		pace float64
-		// deviation is how far single requests are from pace on average.
-		deviation float64
-		// ejections counts upstreams taken out for their failures.
+		lock         sync.Mutex
+		settings     *resolver.Service
+		upstreams    []*upstream
+		waiting      *list.List
+		heldByOrigin map[registrar.Site]timekeeper.Millis
+		peak         int
+		notify       func()
+		// meanHold is the moving average of the time that a request holds a slot,
+		// in milliseconds.
+		meanHold float64
+		// holdDeviation is the moving average of the distance from meanHold, in
+		// milliseconds.
+		holdDeviation float64
+		// ejections counts ejections of upstreams for their failures.
 		ejections uint64
 	}
 
-	// Load is the state of a pool at one moment.
+	// Load is a snapshot of the load of a pool.
 	Load struct {
 		Slots   int
 		Busy    int
 		Waiting int
-		// Peak is the highest Busy since the load was last taken.
+		// Peak is the highest Busy since the last TakeLoad.
 		Peak int
-		// Ejections counts upstreams taken out for their failures.
+		// Ejections counts ejections of upstreams for their failures.
 		Ejections uint64
 	}
 
-	// waiter is a request in line. Its channel receives the upstream whose
-	// slot it was given.
+	// waiter is a queued request. Its channel receives the upstream whose slot it
+	// was granted, or nil if the pool has none left to wait for.
 	waiter struct {
 		granted chan *upstream
 	}
@@ -56,27 +59,27 @@
 
 func newPool(c timekeeper.Clock, s *resolver.Service, dial dialer, notify func()) *Pool {
 	return &Pool{
-		clock:    c,
-		dial:     dial,
-		settings: s,
-		waiting:  list.New(),
-		work:     map[registrar.Site]timekeeper.Millis{},
-		notify:   notify,
+		clock:        c,
+		dial:         dial,
+		settings:     s,
+		waiting:      list.New(),
+		heldByOrigin: map[registrar.Site]timekeeper.Millis{},
+		notify:       notify,
 	}
 }
 
-// acquire gets a slot, waiting in line for it if need be. The result tells why
-// there is none. A detour comes from another site, and is let in only below the
-// limit of this one: no site is overloaded by the decision to send it there.
+// acquire takes a slot, and queues for it if none is free. If the upstream is nil, the
+// result says why. A detour comes from another site and is admitted only below the
+// limit of this one, so that detours never overload a site.
 func (p *Pool) acquire(ctx context.Context, deadline timekeeper.Millis, detour bool) (*upstream, exchanger.Result) {
 	p.lock.Lock()
 	if detour && p.overLimit() {
 		defer p.lock.Unlock()
-		return nil, p.full(exchanger.ReasonAtLimit)
+		return nil, p.refuseFull(exchanger.ReasonAtLimit)
 	}
 	if p.waiting.Len() == 0 {
 		if u := p.pick(); u != nil {
-			p.hold(u)
+			p.takeSlot(u)
 			p.lock.Unlock()
 			return u, exchanger.Result{}
 		}
@@ -89,39 +92,40 @@
 	e := p.waiting.PushBack(w)
 	p.lock.Unlock()
 	p.notify()
-	return p.wait(ctx, e, w, deadline)
+	return p.awaitGrant(ctx, e, w, deadline)
 }
 
-// refusal tells why a request may not wait. The caller holds the lock.
+// refusal reports whether a request may not join the queue, and the result then. The
+// caller holds the lock.
 func (p *Pool) refusal(deadline timekeeper.Millis) (exchanger.Result, bool) {
 	if len(p.upstreams) == 0 {
 		return exchanger.Refused(exchanger.ReasonNotOwner, retryAfter), true
 	}
-	if !p.anyOwned() {
+	if !p.anyUsable() {
 		return exchanger.Refused(exchanger.ReasonNoUpstream, retryAfter), true
 	}
-	if r, dark := p.unreached(); dark {
+	if r, down := p.refuseAllDown(); down {
 		return r, true
 	}
 	if p.waiting.Len() >= p.settings.QueueLength {
-		return p.full(exchanger.ReasonQueueFull), true
+		return p.refuseFull(exchanger.ReasonQueueFull), true
 	}
-	if p.tooLate(deadline) {
-		return p.full(exchanger.ReasonNoTime), true
+	if p.wouldMissDeadline(deadline) {
+		return p.refuseFull(exchanger.ReasonNoTime), true
 	}
 	return exchanger.Result{}, false
 }
 
-func (p *Pool) anyOwned() bool {
+func (p *Pool) anyUsable() bool {
 	for _, u := range p.upstreams {
-		if !u.removed && !u.leaving && !u.listed {
+		if !u.removed && !u.draining && !u.vmLeaving {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Pool) wait(ctx context.Context, e *list.Element, w *waiter, deadline timekeeper.Millis) (*upstream, exchanger.Result) {
+func (p *Pool) awaitGrant(ctx context.Context, e *list.Element, w *waiter, deadline timekeeper.Millis) (*upstream, exchanger.Result) {
 	if deadline > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, (deadline - p.clock.Now()).Duration())
@@ -129,13 +133,13 @@
 	}
 	select {
 	case u := <-w.granted:
-		return p.granted(u, deadline)
+		return p.acceptGrant(u, deadline)
 	case <-ctx.Done():
 	}
 	p.lock.Lock()
 	select {
 	case u := <-w.granted:
-		// The slot came at the last moment. It goes to the next in line.
+		// The slot was granted meanwhile. It goes to the next in the queue.
 		p.lock.Unlock()
 		if u != nil {
 			p.release(u)
@@ -152,40 +156,40 @@
 	return nil, exchanger.Refused(reason, retryAfter)
 }
 
-func (p *Pool) granted(u *upstream, deadline timekeeper.Millis) (*upstream, exchanger.Result) {
+func (p *Pool) acceptGrant(u *upstream, deadline timekeeper.Millis) (*upstream, exchanger.Result) {
 	if u == nil {
 		p.lock.Lock()
 		defer p.lock.Unlock()
-		if r, dark := p.unreached(); dark {
+		if r, down := p.refuseAllDown(); down {
 			return nil, r
 		}
 		return nil, exchanger.Refused(exchanger.ReasonNotOwner, 0)
 	}
-	if p.outOfTime(deadline) {
+	if p.lacksTime(deadline) {
 		p.release(u)
 		p.lock.Lock()
 		defer p.lock.Unlock()
-		return nil, p.full(exchanger.ReasonNoTime)
+		return nil, p.refuseFull(exchanger.ReasonNoTime)
 	}
 	return u, exchanger.Result{}
 }
 
-// pick returns the upstream with the most free slots, nil when none is free.
+// pick returns the upstream with the most free slots, or nil if none is free.
 // The caller holds the lock.
 func (p *Pool) pick() *upstream {
 	now := p.clock.Now()
 	var best *upstream
 	most := 0
 	for _, u := range p.upstreams {
-		if free := u.limit(p.settings.Slots, now) - u.busy; free > most {
+		if free := u.slotLimit(p.settings.Slots, now) - u.busy; free > most {
 			best, most = u, free
 		}
 	}
 	return best
 }
 
-// hold takes a slot of u. The caller holds the lock.
-func (p *Pool) hold(u *upstream) {
+// takeSlot takes a slot of u. The caller holds the lock.
+func (p *Pool) takeSlot(u *upstream) {
 	u.busy++
 	p.peak = max(p.peak, p.busy())
 }
@@ -198,31 +202,32 @@
 	return n
 }
 
-// release gives the slot of u back and hands free slots to those in line.
+// release returns a slot of u and grants free slots to queued requests.
 func (p *Pool) release(u *upstream) {
 	p.lock.Lock()
 	u.busy--
 	if u.busy < 0 {
-		// A slot was given back twice: the counts can no longer be trusted.
+		// A slot was released twice: the counts can no longer be trusted.
 		panic("pooler: slot of " + u.address + " released twice")
 	}
 	p.prune()
-	p.serve()
+	p.grantSlots()
 	p.lock.Unlock()
 	p.notify()
 }
 
-// serve hands free slots to the line. The caller holds the lock.
-func (p *Pool) serve() {
+// grantSlots grants free slots to queued requests in order. If no upstream is left to
+// wait for, it grants them nil. The caller holds the lock.
+func (p *Pool) grantSlots() {
 	for p.waiting.Len() > 0 {
 		u := p.pick()
 		if u == nil {
 			break
 		}
-		p.hold(u)
+		p.takeSlot(u)
 		p.waiting.Remove(p.waiting.Front()).(*waiter).granted <- u
 	}
-	if _, dark := p.dark(p.clock.Now()); p.anyOwned() && !dark {
+	if _, down := p.allDown(p.clock.Now()); p.anyUsable() && !down {
 		return
 	}
 	for p.waiting.Len() > 0 {
@@ -230,7 +235,8 @@
 	}
 }
 
-// prune forgets upstreams that are owned no more and have no request left.
+// prune removes upstreams that are no longer owned and have no request in flight. The
+// caller holds the lock.
 func (p *Pool) prune() {
 	kept := p.upstreams[:0]
 	for _, u := range p.upstreams {
@@ -244,34 +250,34 @@
 	p.upstreams = kept
 }
 
-func (p *Pool) account(origin registrar.Site, held timekeeper.Millis) {
+func (p *Pool) recordHold(origin registrar.Site, held timekeeper.Millis) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.work[origin] += held
-	p.notePace(held)
+	p.heldByOrigin[origin] += held
+	p.updateHoldTime(held)
 }
 
-// Free returns how many requests more could start now, below 0 by the number
-// that wait, and the slots of the pool.
+// Free returns the number of free slots less that of queued requests, which may be
+// negative, and the number of usable slots.
 func (p *Pool) Free() (free, slots int) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	free, slots = p.room(p.clock.Now())
+	free, slots = p.countSlots(p.clock.Now())
 	return free - p.waiting.Len(), slots
 }
 
-// room adds up the slots that upstreams let be used now, and those of them that
-// are free. The caller holds the lock.
-func (p *Pool) room(now timekeeper.Millis) (free, slots int) {
+// countSlots returns the number of slots that are usable now, and how many of them are
+// free. The caller holds the lock.
+func (p *Pool) countSlots(now timekeeper.Millis) (free, slots int) {
 	for _, u := range p.upstreams {
-		n := u.limit(p.settings.Slots, now)
+		n := u.slotLimit(p.settings.Slots, now)
 		slots += n
 		free += max(n-u.busy, 0)
 	}
 	return free, slots
 }
 
-// Load returns the load now.
+// Load returns the current load.
 func (p *Pool) Load() Load {
 	_, slots := p.Free()
 	p.lock.Lock()
@@ -279,14 +285,14 @@
 	return Load{Slots: slots, Busy: p.busy(), Waiting: p.waiting.Len(), Peak: p.peak, Ejections: p.ejections}
 }
 
-// TakeLoad returns the load and, by origin, how long slots were held since the last
-// call.
+// TakeLoad returns the load and, by the site of origin, the total time that requests
+// held slots. Both the peak and the times count from the last call.
 func (p *Pool) TakeLoad() (Load, map[registrar.Site]timekeeper.Millis) {
 	l := p.Load()
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.peak = l.Busy
-	w := p.work
-	p.work = map[registrar.Site]timekeeper.Millis{}
+	w := p.heldByOrigin
+	p.heldByOrigin = map[registrar.Site]timekeeper.Millis{}
 	return l, w
 }
--- a/internal/connection/pooler/pool_test.go
+++ b/internal/connection/pooler/pool_test.go
@@ -24,7 +24,7 @@
 
 var key = pooler.Key{Site: "erie/a", Service: "s"}
 
-// clock is moved by the tests alone.
+// clock is a manual clock.
 type clock struct{ now atomic.Int64 }
 
 func (c *clock) reading() timekeeper.Millis { return timekeeper.Millis(c.now.Load()) }
@@ -37,24 +37,25 @@
 	}
 }
 
-// newOwner owns and has claimed the upstreams, and they are warm.
+// newOwner returns an owner of the upstreams, which are claimed and ramped up.
 func newOwner(s *resolver.Service) (*pooler.Owner, *clock) {
 	c := &clock{}
 	o := &pooler.Owner{Clock: timekeeper.Clock{Monotonic: c.reading}}
-	own(o, c, s)
+	ownUpstreams(o, c, s)
 	return o, c
 }
 
-// own makes o own and claim the upstreams, and waits until they are warm.
-func own(o *pooler.Owner, c *clock, s *resolver.Service) {
+// ownUpstreams makes o own and claim the upstreams, and advances the clock past their
+// ramp-up.
+func ownUpstreams(o *pooler.Owner, c *clock, s *resolver.Service) {
 	for _, u := range o.Set(map[pooler.Key]pooler.Owned{key: {Settings: s, Upstreams: s.Upstreams}}) {
 		o.Claimed(u, 0)
 	}
 	c.now.Add(60000)
 }
 
-// call is a GET, or a POST when it has a body.
-func call(token string, body []byte, answer io.Writer) *exchanger.Call {
+// call returns a GET, or a POST if it has a body.
+func call(token string, body []byte, out io.Writer) *exchanger.Call {
 	c := &exchanger.Call{
 		Head: exchanger.Head{
 			Service: key.Service, Site: key.Site, Method: http.MethodGet,
@@ -62,7 +63,7 @@
 		},
 		Start: func(exchanger.Answer) error { return nil },
 		Write: func(p []byte) error {
-			_, err := answer.Write(p)
+			_, err := out.Write(p)
 			return err
 		},
 	}
@@ -82,9 +83,9 @@
 	return h.Listener.Addr().String()
 }
 
-// startHeld starts an upstream that tells of each request that entered, and holds it
-// until it may leave.
-func startHeld(t *testing.T) (address string, entered, leave chan struct{}) {
+// startBlocking starts an upstream that sends on entered for each request, and responds
+// once it receives from leave.
+func startBlocking(t *testing.T) (address string, entered, leave chan struct{}) {
 	t.Helper()
 	entered, leave = make(chan struct{}, 10), make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) {
@@ -95,9 +96,9 @@
 	return s.Listener.Addr().String(), entered, leave
 }
 
-// TestSlotsAreExact sends far more calls than there are slots. No upstream sees
-// more than its slots, every call gets its own answer, and connections are as
-// few as slots.
+// TestSlotsAreExact sends far more calls than there are slots. No upstream may have more
+// requests than slots, every call must get its own response, and there is at most one
+// connection more than slots.
 func TestSlotsAreExact(t *testing.T) {
 	is := is.New(t)
 	a := &server.Server{Slots: 3, ServiceMillis: 1}
@@ -124,7 +125,7 @@
 		c := s.Counts()
 		is.Equal(c.Shed, int64(0))
 		is.True(c.Peak <= 3)
-		is.True(c.Conns <= 4) // slots, and one whose dial was overtaken
+		is.True(c.Conns <= 4) // one per slot, and one whose dial ended after its call got another
 		for token, n := range c.Journal {
 			is.Equal(n, 1)
 			_ = token
@@ -132,10 +133,11 @@
 	}
 }
 
-// TestRefusalsDidNotRun fills the only slot and the line behind it.
+// TestRefusalsDidNotRun fills the only slot and the queue, and checks that refused,
+// cancelled and expired requests do not run.
 func TestRefusalsDidNotRun(t *testing.T) {
 	is := is.New(t)
-	address, entered, leave := startHeld(t)
+	address, entered, leave := startBlocking(t)
 	o, c := newOwner(settings(1, 1, address))
 	results := make(chan exchanger.Result, 10)
 	run := func(ctx context.Context, deadline timekeeper.Millis) {
@@ -148,7 +150,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	go run(ctx, 0)
 	for free, _ := o.Free(key); free != -1; free, _ = o.Free(key) {
-		_ = free // the second waits in line as soon as free is -1
+		_ = free // the second request is queued once free is -1
 	}
 	run(context.Background(), 0)
 	r := <-results
@@ -156,7 +158,7 @@
 	is.Equal(r.Reason, exchanger.ReasonQueueFull)
 	is.True(r.RetryAfter > 0)
 	cancel()
-	is.Equal((<-results).Outcome, exchanger.NotRun) // gave up in line
+	is.Equal((<-results).Outcome, exchanger.NotRun) // cancelled in the queue
 	run(context.Background(), c.reading())
 	is.Equal((<-results).Reason, exchanger.ReasonDeadline)
 	close(leave)
@@ -164,11 +166,11 @@
 	is.Equal(len(entered), 0)
 }
 
-// TestReleaseStopsAtOnce takes an upstream away while a call runs and another
-// waits. The one ends, the other is refused, and nothing new is sent.
+// TestReleaseStopsAtOnce releases and removes an upstream while a call runs. The call
+// completes, a later one is refused, and nothing new is sent.
 func TestReleaseStopsAtOnce(t *testing.T) {
 	is := is.New(t)
-	address, entered, leave := startHeld(t)
+	address, entered, leave := startBlocking(t)
 	o, _ := newOwner(settings(1, 5, address))
 	results := make(chan exchanger.Result, 10)
 	go func() { results <- o.Run(context.Background(), call("x", nil, io.Discard)) }()
@@ -182,9 +184,9 @@
 	is.Equal(len(entered), 0)
 }
 
-// TestStaleConnectionTellsTheTruth lets the upstream close idle connections, so
-// that requests are written to connections that are closing. Whatever becomes of
-// one, "not run" is never said of a request that ran, and none runs twice.
+// TestStaleConnectionTellsTheTruth has the upstream close idle connections, so that
+// requests are written to connections that are being closed. A request that ran must not
+// be reported as not run, and none may run twice.
 func TestStaleConnectionTellsTheTruth(t *testing.T) {
 	is := is.New(t)
 	u := &server.Server{Slots: 5}
@@ -205,7 +207,8 @@
 	}
 }
 
-// TestDialFailureDidNotRun has nobody listen.
+// TestDialFailureDidNotRun checks that a refused dial is reported as not run and starts
+// a back-off.
 func TestDialFailureDidNotRun(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -223,7 +226,7 @@
 	is.Equal(slots, 1)
 }
 
-// TestLapsedMemberSendsNothing asks right before sending.
+// TestLapsedMemberSendsNothing checks that nothing is sent once Valid returns false.
 func TestLapsedMemberSendsNothing(t *testing.T) {
 	is := is.New(t)
 	s := &server.Server{Slots: 5}
--- a/internal/connection/pooler/send.go
+++ b/internal/connection/pooler/send.go
@@ -18,47 +18,47 @@
 )
 
 type (
-	// attempt is one sending of a request to one upstream.
+	// attempt is one attempt to send a request to one upstream.
 	attempt struct {
-		pool  *Pool
-		up    *upstream
-		call  *exchanger.Call
-		sent  atomic.Bool
-		began timekeeper.Millis
-		// giveUp ends the dial that was begun for the request, if any.
-		giveUp context.CancelFunc
-		// status is that of the answer, 0 for none.
+		pool     *Pool
+		upstream *upstream
+		call     *exchanger.Call
+		sent     atomic.Bool
+		started  timekeeper.Millis
+		// cancelDial cancels the dial that was started for the request, if any.
+		cancelDial context.CancelFunc
+		// status is the status code of the response, 0 if there is none.
 		status int
 	}
 
-	// onceBody is a body that the transport can read once only, so that it
-	// cannot send the request again on its own.
-	onceBody struct {
+	// singleReadBody is a body that the transport can read only once, so that it
+	// cannot resend the request on its own.
+	singleReadBody struct {
 		io.Reader
 	}
 )
 
-// replayHeaders make the transport of net/http repeat a request of any method
-// after a lost connection, although it may have run. Under a name in lower case
-// they mean the same to the upstream and nothing to the transport.
+// replayHeaders make the transport of net/http resend a request of any method after a
+// lost connection, although it may have run. The transport looks them up by their
+// canonical names, so in lower case only the upstream recognises them.
 var replayHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// Close tells the source of the body that nobody reads it any more.
-func (b onceBody) Close() error {
+// Close closes the source of the body if it is a Closer.
+func (b singleReadBody) Close() error {
 	if c, ok := b.Reader.(io.Closer); ok {
 		return c.Close()
 	}
 	return nil
 }
 
-// Run runs a call on an upstream of the pool. valid is asked right before
-// sending whether this daemon may still send, and admit whether the call may go.
+// Run sends a call to an upstream of the pool. Right before sending, valid reports
+// whether this daemon may still send, and admit whether the call is refused.
 func (p *Pool) Run(ctx context.Context, c *exchanger.Call, valid func() bool, admit Admission) exchanger.Result {
 	u, refused := p.acquire(ctx, c.Deadline, c.Detour)
 	if u == nil {
 		return refused
 	}
-	a := &attempt{pool: p, up: u, call: c, began: p.clock.Now()}
+	a := &attempt{pool: p, upstream: u, call: c, started: p.clock.Now()}
 	defer a.finish()
 	if !valid() {
 		return exchanger.Refused(exchanger.ReasonPaused, 0)
@@ -71,47 +71,47 @@
 	}
 	r := a.run(ctx)
 	if a.sent.Load() && r.Reason != exchanger.ReasonCancelled && r.Reason != exchanger.ReasonDeadline {
-		p.judge(u, isFailure(r, a.status))
+		p.recordOutcome(u, isFailure(r, a.status))
 	}
 	return r
 }
 
 func (a *attempt) finish() {
-	a.pool.account(a.call.Origin, a.pool.clock.Now()-a.began)
-	a.pool.release(a.up)
+	a.pool.recordHold(a.call.Origin, a.pool.clock.Now()-a.started)
+	a.pool.release(a.upstream)
 }
 
 func (a *attempt) run(ctx context.Context) exchanger.Result {
 	if d := a.call.Deadline; d > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, (d - a.began).Duration())
+		ctx, cancel = context.WithTimeout(ctx, (d - a.started).Duration())
 		defer cancel()
 	}
-	ctx, a.giveUp = withGiveUp(ctx)
+	ctx, a.cancelDial = withDialCancel(ctx)
 	q, err := a.request(ctx)
 	if err != nil {
 		return exchanger.Refused(exchanger.ReasonBadRequest, 0)
 	}
-	p, err := a.pool.transport(a.up).RoundTrip(q)
+	p, err := a.pool.requestTransport(a.upstream).RoundTrip(q)
 	if err != nil {
-		return a.failed(ctx)
+		return a.failureResult(ctx)
 	}
 	defer p.Body.Close()
 	a.status = p.StatusCode
-	a.observe(p)
+	a.recordResponse(p)
 	if p.Header.Get(a.pool.refusalHeader()) != "" {
 		discard(p)
 		r := exchanger.Refused(exchanger.ReasonUpstreamBusy, retryAfter)
-		r.Upstream = a.up.address
+		r.Upstream = a.upstream.address
 		return r
 	}
-	return a.answer(ctx, p)
+	return a.passResponse(ctx, p)
 }
 
 func (a *attempt) request(ctx context.Context) (*http.Request, error) {
 	t := &httptrace.ClientTrace{
-		// The head of a request leaves only after this call, so a failure
-		// before it is a request that did not run.
+		// The head of a request is flushed only after this call, so a request
+		// that fails before it did not run.
 		WroteHeaders: func() { a.sent.Store(true) },
 	}
 	c := a.call
@@ -120,12 +120,12 @@
 		return nil, err
 	}
 	target.Scheme = "http"
-	target.Host = a.up.address
+	target.Host = a.upstream.address
 	q := &http.Request{
 		Method:        c.Method,
 		URL:           target,
 		Host:          c.Host,
-		Header:        withoutReplay(c.Header),
+		Header:        withoutReplayHeaders(c.Header),
 		ContentLength: c.Length,
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
@@ -135,8 +135,9 @@
 	return q.WithContext(httptrace.WithClientTrace(ctx, t)), nil
 }
 
-// withoutReplay returns h such that the transport does not repeat the request.
-func withoutReplay(h http.Header) http.Header {
+// withoutReplayHeaders returns h with the replay headers in lower case, so that the
+// transport does not resend the request. It leaves h itself as it is.
+func withoutReplayHeaders(h http.Header) http.Header {
 	for _, n := range replayHeaders {
 		v, ok := h[n]
 		if !ok {
@@ -153,49 +154,50 @@
 	c := a.call
 	switch {
 	case len(c.Short) > 0:
-		q.Body = onceBody{bytes.NewReader(c.Short)}
+		q.Body = singleReadBody{bytes.NewReader(c.Short)}
 		q.ContentLength = int64(len(c.Short))
 	case c.Body != nil:
-		q.Body = onceBody{c.Body}
+		q.Body = singleReadBody{c.Body}
 	default:
 		q.Body = http.NoBody
 		q.ContentLength = 0
 	}
 }
 
-// failed tells what a round trip without an answer means.
-func (a *attempt) failed(ctx context.Context) exchanger.Result {
+// failureResult returns the result of a round trip without a response.
+func (a *attempt) failureResult(ctx context.Context) exchanger.Result {
 	if ctx.Err() != nil {
-		a.giveUp()
-		return a.interrupted()
+		a.cancelDial()
+		return a.interruptedResult()
 	}
 	if !a.sent.Load() {
-		a.pool.markDown(a.up)
+		a.pool.markDown(a.upstream)
 		r := exchanger.Refused(exchanger.ReasonUpstreamDial, 0)
-		r.Upstream = a.up.address
+		r.Upstream = a.upstream.address
 		return r
 	}
-	return exchanger.Lost(a.lost(ctx), a.up.address)
+	return exchanger.Lost(a.classifyLoss(ctx), a.upstream.address)
 }
 
-// lost tells, by a new connection, whether the upstream ended that closed one under the call.
-// Upstreams also reset connections and close idle ones.
-func (a *attempt) lost(ctx context.Context) exchanger.Reason {
-	ctx, cancel := context.WithTimeout(ctx, checkTime.Duration())
+// classifyLoss returns the reason for a lost connection. Upstreams also reset
+// connections and close idle ones while they run, so it opens a new connection: the
+// upstream terminated if that is refused and it was not leaving.
+func (a *attempt) classifyLoss(ctx context.Context) exchanger.Reason {
+	ctx, cancel := context.WithTimeout(ctx, checkTimeout.Duration())
 	defer cancel()
-	c, err := a.pool.dial(ctx, a.up.address)
+	c, err := a.pool.dial(ctx, a.upstream.address)
 	if err == nil {
 		_ = c.Close()
 		return exchanger.ReasonUpstreamLost
 	}
-	if !errors.Is(err, syscall.ECONNREFUSED) || a.pool.leaves(a.up) {
+	if !errors.Is(err, syscall.ECONNREFUSED) || a.pool.isLeaving(a.upstream) {
 		return exchanger.ReasonUpstreamLost
 	}
-	a.pool.markDown(a.up)
+	a.pool.markDown(a.upstream)
 	return exchanger.ReasonUpstreamEnded
 }
 
-func (a *attempt) interrupted() exchanger.Result {
+func (a *attempt) interruptedResult() exchanger.Result {
 	reason := exchanger.ReasonCancelled
 	if d := a.call.Deadline; d > 0 && a.pool.clock.Now() >= d {
 		reason = exchanger.ReasonDeadline
@@ -203,22 +205,22 @@
 	if !a.sent.Load() {
 		return exchanger.Refused(reason, 0)
 	}
-	return exchanger.Lost(reason, a.up.address)
+	return exchanger.Lost(reason, a.upstream.address)
 }
 
-// observe acts on what the answer says about the upstream.
-func (a *attempt) observe(p *http.Response) {
-	leaving := p.Header.Get(a.pool.drainHeader()) != ""
-	a.pool.observe(a.up, leaving, p.StatusCode < http.StatusInternalServerError)
+// recordResponse records what a response says about the state of the upstream.
+func (a *attempt) recordResponse(p *http.Response) {
+	draining := p.Header.Get(a.pool.drainHeader()) != ""
+	a.pool.recordResponse(a.upstream, draining, p.StatusCode < http.StatusInternalServerError)
 }
 
-func (a *attempt) answer(ctx context.Context, p *http.Response) exchanger.Result {
-	r := exchanger.Result{Outcome: exchanger.Answered, Upstream: a.up.address}
+func (a *attempt) passResponse(ctx context.Context, p *http.Response) exchanger.Result {
+	r := exchanger.Result{Outcome: exchanger.Answered, Upstream: a.upstream.address}
 	head := exchanger.Answer{
 		Status:   p.StatusCode,
 		Header:   p.Header,
 		Length:   p.ContentLength,
-		Upstream: a.up.address,
+		Upstream: a.upstream.address,
 	}
 	if err := a.call.Start(head); err != nil {
 		r.Reason = exchanger.ReasonCancelled
@@ -233,8 +235,8 @@
 }
 
 func (a *attempt) copyBody(ctx context.Context, body io.Reader) exchanger.Reason {
-	b := chunks.Get().(*[framer.ChunkBytes]byte)
-	defer chunks.Put(b)
+	b := chunkBuffers.Get().(*[framer.ChunkBytes]byte)
+	defer chunkBuffers.Put(b)
 	for {
 		n, err := body.Read(b[:])
 		if n > 0 {
@@ -249,7 +251,7 @@
 			return exchanger.ReasonUpstreamLost
 		}
 		if err != nil {
-			return a.lost(ctx)
+			return a.classifyLoss(ctx)
 		}
 	}
 }
--- a/internal/connection/pooler/slot_test.go
+++ b/internal/connection/pooler/slot_test.go
@@ -15,7 +15,7 @@
 	"github.com/gullvale/gullvale/internal/request/exchanger"
 )
 
-// useAllSlots has a call in each slot at the same time.
+// useAllSlots checks that all slots are free and can serve a call at the same time.
 func useAllSlots(t *testing.T, o *pooler.Owner, slots int, entered, leave chan struct{}) {
 	t.Helper()
 	is := is.New(t)
@@ -33,10 +33,10 @@
 	}
 }
 
-// TestSlotsFollowSettings gives an upstream more slots and fewer while connections
-// are open.
+// TestSlotsFollowSettings raises and lowers the number of slots while connections are
+// open.
 func TestSlotsFollowSettings(t *testing.T) {
-	address, entered, leave := startHeld(t)
+	address, entered, leave := startBlocking(t)
 	o, _ := newOwner(settings(1, 10, address))
 	for _, slots := range []int{1, 6, 2} {
 		set := settings(slots, 10, address)
@@ -45,18 +45,18 @@
 	}
 }
 
-// TestEveryEndGivesTheSlotBack ends calls in each way that leaves their connection
-// useless. All slots can be used after that.
+// TestEveryEndGivesTheSlotBack checks that all slots are usable after calls ended in any
+// way that makes their connection unusable.
 func TestEveryEndGivesTheSlotBack(t *testing.T) {
 	const slots, calls = 2, 10
 	for _, x := range []struct {
 		name string
-		// raw is what the upstream writes before it closes the connection, empty
-		// when it goes on to the body that it announced.
+		// raw is what the upstream writes before it closes the connection. If it is
+		// empty, the upstream sends a response of 1 MiB.
 		raw string
-		// refuse tells that the caller takes nothing of the answer.
+		// refuse makes the caller fail to write the response.
 		refuse bool
-		// cancel tells that the caller goes once the request is at the upstream.
+		// cancel makes the caller cancel once the request is at the upstream.
 		cancel bool
 	}{
 		{name: "no answer", raw: " "},
@@ -72,7 +72,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			entered, leave := make(chan struct{}, 10), make(chan struct{})
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				// The server sees that a caller went once the body is read.
+				// The server notices a cancelled request only after its body is read.
 				if _, err := io.Copy(io.Discard, r.Body); err != nil {
 					t.Error(err)
 				}
@@ -86,7 +86,7 @@
 				case x.raw == "":
 					_, _ = w.Write(make([]byte, 1<<20))
 				default:
-					answerRaw(t, w, x.raw)
+					writeRawResponse(t, w, x.raw)
 				}
 			}))
 			t.Cleanup(s.Close)
@@ -105,15 +105,15 @@
 				}
 				<-ended
 				cancel()
-				c.now.Add(60000) // an upstream that was not reached is back
+				c.now.Add(60000) // past any back-off
 			}
 			useAllSlots(t, o, slots, entered, leave)
 		})
 	}
 }
 
-// answerRaw writes an answer as it stands and closes the connection.
-func answerRaw(t *testing.T, w http.ResponseWriter, raw string) {
+// writeRawResponse writes raw to the connection and closes it.
+func writeRawResponse(t *testing.T, w http.ResponseWriter, raw string) {
 	t.Helper()
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
--- a/internal/connection/pooler/transport.go
+++ b/internal/connection/pooler/transport.go
@@ -12,18 +12,18 @@
 	idleTimeout = 60 * timekeeper.Second
 	dialTimeout = 2 * timekeeper.Second
 
-	// checkTime bounds the opening of a connection that tells whether an upstream ended: owners
-	// are near their upstreams.
-	checkTime = 100 * timekeeper.Millis(1)
+	// checkTimeout bounds the dial that checks whether an upstream terminated. It is
+	// short since owners are near their upstreams.
+	checkTimeout = 100 * timekeeper.Millis(1)
 
 	// spareConns is how many connections for requests an upstream may have beyond
-	// its slots. With one, a dial that hangs (a lost SYN is sent again after 1 s)
-	// holds no slot up once its request was given another connection
-	// (TestHungDialHoldsNoSlot; with none, a slot is useless until the dial ends).
+	// its slots. With one, a dial that hangs (a lost SYN is retransmitted after 1 s)
+	// blocks no slot once its request got another connection. With none, a slot is
+	// unusable until the dial ends (TestHungDialHoldsNoSlot).
 	spareConns = 1
 
-	// probeConns is how many connections for probes are kept: there is one probe
-	// of an upstream at a time.
+	// probeConns is how many connections for probes are kept. An upstream has at
+	// most one probe in flight.
 	probeConns = 1
 )
 
@@ -31,52 +31,52 @@
 	// dialer opens a connection to the address of an upstream.
 	dialer func(ctx context.Context, address string) (net.Conn, error)
 
-	// givenUpKey is the key of a request's value that is a context which ends when
-	// the request is given up. Dials do not see the end of the request's own: the
-	// transport takes its values only.
-	givenUpKey struct{}
+	// dialCancelKey is the key of a context value that is itself a context, which is
+	// cancelled when the request is abandoned. The transport passes only the values
+	// of a request's context to the dial, not its cancellation.
+	dialCancelKey struct{}
 )
 
-// dialTCP is the dialer of an owner that has none of its own.
+// dialTCP is the default dialer of an Owner.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout.Duration()}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// withGiveUp returns a context for a request, and what gives the request's dial up.
-func withGiveUp(ctx context.Context) (context.Context, context.CancelFunc) {
-	givenUp, giveUp := context.WithCancel(context.Background())
-	return context.WithValue(ctx, givenUpKey{}, givenUp), giveUp
+// withDialCancel returns a context for a request and a function that cancels its dial.
+func withDialCancel(ctx context.Context) (context.Context, context.CancelFunc) {
+	abandoned, abandon := context.WithCancel(context.Background())
+	return context.WithValue(ctx, dialCancelKey{}, abandoned), abandon
 }
 
-// dialUnlessGivenUp ends the dial of a request that is given up. It would count
-// against the connections of its upstream for as long as it hangs, up to dialTimeout
-// (TestCancelledDialHoldsNoSlot). The dial of a request that was answered over
-// another connection goes on: the upstream may have accepted it already.
-func (d dialer) dialUnlessGivenUp(ctx context.Context, _, address string) (net.Conn, error) {
+// dialCancellable is a DialContext that cancels the dial of an abandoned request.
+// Otherwise the dial would count against the connections of its upstream while it
+// hangs, for up to dialTimeout (TestCancelledDialHoldsNoSlot). The dial of a request that
+// got another connection continues, since the upstream may have accepted it already.
+func (d dialer) dialCancellable(ctx context.Context, _, address string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if givenUp, ok := ctx.Value(givenUpKey{}).(context.Context); ok {
-		defer context.AfterFunc(givenUp, cancel)()
+	if abandoned, ok := ctx.Value(dialCancelKey{}).(context.Context); ok {
+		defer context.AfterFunc(abandoned, cancel)()
 	}
 	return d(ctx, address)
 }
 
-// newTransport returns a transport that keeps up to kept connections.
-func newTransport(kept int, dial dialer) *http.Transport {
+// newTransport returns a transport that keeps up to maxIdle idle connections.
+func newTransport(maxIdle int, dial dialer) *http.Transport {
 	return &http.Transport{
-		DialContext:         dial.dialUnlessGivenUp,
-		MaxIdleConnsPerHost: kept,
+		DialContext:         dial.dialCancellable,
+		MaxIdleConnsPerHost: maxIdle,
 		IdleConnTimeout:     idleTimeout.Duration(),
-		// The answer passes through as it is.
+		// Responses are passed on unchanged.
 		DisableCompression: true,
 	}
 }
 
-// newRequestTransport returns the transport for the requests of an upstream. Dials
-// under way count as connections, also those whose request was given another one
-// first: without that, 11 of 300 runs of TestSlotsAreExact beside six busy processes
-// opened more than 4 connections to an upstream of 3 slots, with it 0 of 300.
+// newRequestTransport returns the transport for the requests to an upstream. Its limit
+// on connections includes pending dials, also those whose request got another connection
+// first. Without the limit, 11 of 300 runs of TestSlotsAreExact beside six busy processes
+// opened more than 4 connections to an upstream with 3 slots; with it, 0 of 300 did.
 func newRequestTransport(slots int, dial dialer) *http.Transport {
 	t := newTransport(slots+spareConns, dial)
 	t.MaxConnsPerHost = slots + spareConns
--- a/internal/connection/pooler/upstream.go
+++ b/internal/connection/pooler/upstream.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// firstBackOff is how long an upstream that was not reached gets nothing;
-	// it doubles up to lastBackOff.
-	firstBackOff = 250 * timekeeper.Millis(1)
-	lastBackOff  = 8 * timekeeper.Second
+	// initialBackOff is how long an upstream gets no requests after a failed
+	// dial. It doubles with each further failure, up to maxBackOff.
+	initialBackOff = 250 * timekeeper.Millis(1)
+	maxBackOff     = 8 * timekeeper.Second
 
-	// rampEvery is how long a new or returning upstream stays at a limit
-	// before it is doubled.
-	rampEvery = 250 * timekeeper.Millis(1)
+	// rampInterval is how often the limit of a new or returning upstream doubles,
+	// starting from 1 request.
+	rampInterval = 250 * timekeeper.Millis(1)
 )
 
-// upstream is one owned server. Its pool's lock protects it.
+// upstream is one owned upstream. The lock of its pool guards it.
 type upstream struct {
 	address string
-	// requests is for requests, probes for probes only, so that neither waits for
+	// Requests and probes have transports of their own, so that neither waits for
 	// the other's connections.
-	requests *http.Transport
-	probes   *http.Transport
+	requestTransport *http.Transport
+	probeTransport   *http.Transport
 
 	busy int
-	// elsewhere is how many requests its former owner still has there.
-	elsewhere int
-	// claimed tells that every former owner has stopped sending.
+	// formerBusy is how many requests of its former owners are still in flight there.
+	formerBusy int
+	// claimed reports whether every former owner has stopped sending.
 	claimed bool
-	// leaving tells that the upstream announced that it stops.
-	leaving bool
-	// listed tells that the platform's list of VMs calls its VM leaving.
-	listed bool
-	// removed tells that this daemon is no longer the owner.
+	// draining reports whether the upstream announced that it drains.
+	draining bool
+	// vmLeaving reports whether its VM is leaving by the platform's list of VMs.
+	vmLeaving bool
+	// removed reports whether this daemon is no longer the owner.
 	removed bool
 
-	// failing is the part of the latest requests that failed.
-	failing float64
+	// failureShare is the moving average of failed requests, from 0 to 1.
+	failureShare float64
 
 	downUntil timekeeper.Millis
 	backOff   timekeeper.Millis
@@ -47,47 +47,47 @@
 
 func newUpstream(address string, slots int, now timekeeper.Millis, dial dialer) *upstream {
 	return &upstream{
-		address:  address,
-		upSince:  now,
-		requests: newRequestTransport(slots, dial),
-		probes:   newTransport(probeConns, dial),
+		address:          address,
+		upSince:          now,
+		requestTransport: newRequestTransport(slots, dial),
+		probeTransport:   newTransport(probeConns, dial),
 	}
 }
 
-// resize gives u connections for another number of slots. Requests under way end on
-// those that they have.
+// resize replaces the transport for requests if the number of slots changed. Requests
+// in flight complete on their old connections.
 func (u *upstream) resize(slots int, dial dialer) {
-	if u.requests.MaxConnsPerHost == slots+spareConns {
+	if u.requestTransport.MaxConnsPerHost == slots+spareConns {
 		return
 	}
-	u.requests.CloseIdleConnections()
-	u.requests = newRequestTransport(slots, dial)
+	u.requestTransport.CloseIdleConnections()
+	u.requestTransport = newRequestTransport(slots, dial)
 }
 
 func (u *upstream) closeIdle() {
-	u.requests.CloseIdleConnections()
-	u.probes.CloseIdleConnections()
+	u.requestTransport.CloseIdleConnections()
+	u.probeTransport.CloseIdleConnections()
 }
 
-// limit is how many requests u may have now: none while it is down, leaving or
-// not yet claimed, and a growing number while it warms up.
-func (u *upstream) limit(slots int, now timekeeper.Millis) int {
-	if u.removed || u.leaving || u.listed || !u.claimed || now < u.downUntil {
+// slotLimit returns how many requests u may have now: none while it is down, leaving or
+// unclaimed, and a growing number while it ramps up.
+func (u *upstream) slotLimit(slots int, now timekeeper.Millis) int {
+	if u.removed || u.draining || u.vmLeaving || !u.claimed || now < u.downUntil {
 		return 0
 	}
-	doublings := (now - u.upSince) / rampEvery
+	doublings := (now - u.upSince) / rampInterval
 	if doublings < 16 {
 		slots = min(slots, 1<<doublings)
 	}
-	return max(slots-u.elsewhere, 0)
+	return max(slots-u.formerBusy, 0)
 }
 
-func (u *upstream) fail(now timekeeper.Millis) {
-	u.backOff = min(max(u.backOff*2, firstBackOff), lastBackOff)
+func (u *upstream) startBackOff(now timekeeper.Millis) {
+	u.backOff = min(max(u.backOff*2, initialBackOff), maxBackOff)
 	u.downUntil = now + u.backOff
 	u.upSince = u.downUntil
 }
 
-func (u *upstream) succeed() {
+func (u *upstream) resetBackOff() {
 	u.backOff = 0
 }
