--- a/internal/connection/pooler/availability.go
+++ b/internal/connection/pooler/availability.go
@@ -29,8 +29,8 @@
 // caller holds the lock.
 func (p *Pool) refuseAllDown() (exchanger.Result, bool) {
 	now := p.clock.Now()
-	soonest, down := p.allDown(now)
-	if !down {
+	soonest, allDown := p.allDown(now)
+	if !allDown {
 		return exchanger.Result{}, false
 	}
 	return exchanger.Refused(exchanger.ReasonNoUpstream, min(max(soonest-now, minRetryAfter), maxRetryAfter)), true
--- a/internal/connection/pooler/owner.go
+++ b/internal/connection/pooler/owner.go
@@ -349,8 +349,8 @@
 	}
 }
 
-// requestTransport returns the transport for requests to u, which resize may replace.
-func (p *Pool) requestTransport(u *upstream) *http.Transport {
+// transportOf returns the transport for requests to u, which resize may replace.
+func (p *Pool) transportOf(u *upstream) *http.Transport {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return u.requestTransport
--- a/internal/connection/pooler/pool.go
+++ b/internal/connection/pooler/pool.go
@@ -133,7 +133,7 @@
 	}
 	select {
 	case u := <-w.granted:
-		return p.acceptGrant(u, deadline)
+		return p.granted(u, deadline)
 	case <-ctx.Done():
 	}
 	p.lock.Lock()
@@ -156,7 +156,7 @@
 	return nil, exchanger.Refused(reason, retryAfter)
 }
 
-func (p *Pool) acceptGrant(u *upstream, deadline timekeeper.Millis) (*upstream, exchanger.Result) {
+func (p *Pool) granted(u *upstream, deadline timekeeper.Millis) (*upstream, exchanger.Result) {
 	if u == nil {
 		p.lock.Lock()
 		defer p.lock.Unlock()
@@ -227,7 +227,7 @@
 		p.takeSlot(u)
 		p.waiting.Remove(p.waiting.Front()).(*waiter).granted <- u
 	}
-	if _, down := p.allDown(p.clock.Now()); p.anyUsable() && !down {
+	if _, allDown := p.allDown(p.clock.Now()); p.anyUsable() && !allDown {
 		return
 	}
 	for p.waiting.Len() > 0 {
--- a/internal/connection/pooler/send.go
+++ b/internal/connection/pooler/send.go
@@ -20,11 +20,11 @@
 type (
 	// attempt is one attempt to send a request to one upstream.
 	attempt struct {
-		pool     *Pool
-		upstream *upstream
-		call     *exchanger.Call
-		sent     atomic.Bool
-		started  timekeeper.Millis
+		pool    *Pool
+		dest    *upstream
+		call    *exchanger.Call
+		sent    atomic.Bool
+		started timekeeper.Millis
 		// cancelDial cancels the dial that was started for the request, if any.
 		cancelDial context.CancelFunc
 		// status is the status code of the response, 0 if there is none.
@@ -58,7 +58,7 @@
 	if u == nil {
 		return refused
 	}
-	a := &attempt{pool: p, upstream: u, call: c, started: p.clock.Now()}
+	a := &attempt{pool: p, dest: u, call: c, started: p.clock.Now()}
 	defer a.finish()
 	if !valid() {
 		return exchanger.Refused(exchanger.ReasonPaused, 0)
@@ -78,7 +78,7 @@
 
 func (a *attempt) finish() {
 	a.pool.recordHold(a.call.Origin, a.pool.clock.Now()-a.started)
-	a.pool.release(a.upstream)
+	a.pool.release(a.dest)
 }
 
 func (a *attempt) run(ctx context.Context) exchanger.Result {
@@ -92,7 +92,7 @@
 	if err != nil {
 		return exchanger.Refused(exchanger.ReasonBadRequest, 0)
 	}
-	p, err := a.pool.requestTransport(a.upstream).RoundTrip(q)
+	p, err := a.pool.transportOf(a.dest).RoundTrip(q)
 	if err != nil {
 		return a.failureResult(ctx)
 	}
@@ -102,7 +102,7 @@
 	if p.Header.Get(a.pool.refusalHeader()) != "" {
 		discard(p)
 		r := exchanger.Refused(exchanger.ReasonUpstreamBusy, retryAfter)
-		r.Upstream = a.upstream.address
+		r.Upstream = a.dest.address
 		return r
 	}
 	return a.passResponse(ctx, p)
@@ -120,7 +120,7 @@
 		return nil, err
 	}
 	target.Scheme = "http"
-	target.Host = a.upstream.address
+	target.Host = a.dest.address
 	q := &http.Request{
 		Method:        c.Method,
 		URL:           target,
@@ -171,12 +171,12 @@
 		return a.interruptedResult()
 	}
 	if !a.sent.Load() {
-		a.pool.markDown(a.upstream)
+		a.pool.markDown(a.dest)
 		r := exchanger.Refused(exchanger.ReasonUpstreamDial, 0)
-		r.Upstream = a.upstream.address
+		r.Upstream = a.dest.address
 		return r
 	}
-	return exchanger.Lost(a.classifyLoss(ctx), a.upstream.address)
+	return exchanger.Lost(a.classifyLoss(ctx), a.dest.address)
 }
 
 // classifyLoss returns the reason for a lost connection. Upstreams also reset
@@ -185,15 +185,15 @@
 func (a *attempt) classifyLoss(ctx context.Context) exchanger.Reason {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout.Duration())
 	defer cancel()
-	c, err := a.pool.dial(ctx, a.upstream.address)
+	c, err := a.pool.dial(ctx, a.dest.address)
 	if err == nil {
 		_ = c.Close()
 		return exchanger.ReasonUpstreamLost
 	}
-	if !errors.Is(err, syscall.ECONNREFUSED) || a.pool.isLeaving(a.upstream) {
+	if !errors.Is(err, syscall.ECONNREFUSED) || a.pool.isLeaving(a.dest) {
 		return exchanger.ReasonUpstreamLost
 	}
-	a.pool.markDown(a.upstream)
+	a.pool.markDown(a.dest)
 	return exchanger.ReasonUpstreamEnded
 }
 
@@ -205,22 +205,22 @@
 	if !a.sent.Load() {
 		return exchanger.Refused(reason, 0)
 	}
-	return exchanger.Lost(reason, a.upstream.address)
+	return exchanger.Lost(reason, a.dest.address)
 }
 
 // recordResponse records what a response says about the state of the upstream.
 func (a *attempt) recordResponse(p *http.Response) {
 	draining := p.Header.Get(a.pool.drainHeader()) != ""
-	a.pool.recordResponse(a.upstream, draining, p.StatusCode < http.StatusInternalServerError)
+	a.pool.recordResponse(a.dest, draining, p.StatusCode < http.StatusInternalServerError)
 }
 
 func (a *attempt) passResponse(ctx context.Context, p *http.Response) exchanger.Result {
-	r := exchanger.Result{Outcome: exchanger.Answered, Upstream: a.upstream.address}
+	r := exchanger.Result{Outcome: exchanger.Answered, Upstream: a.dest.address}
 	head := exchanger.Answer{
 		Status:   p.StatusCode,
 		Header:   p.Header,
 		Length:   p.ContentLength,
-		Upstream: a.upstream.address,
+		Upstream: a.dest.address,
 	}
 	if err := a.call.Start(head); err != nil {
 		r.Reason = exchanger.ReasonCancelled
