--- a/internal/connection/sender/conn.go
+++ b/internal/connection/sender/conn.go
@@ -18,75 +18,76 @@
 	readBuffer  = 4 << 10
 	writeBuffer = 2 << 10
 
-	// idleMargin is taken off the time for which an upstream says it keeps an
-	// idle connection, so that a request does not cross the upstream's close.
+	// idleMargin is subtracted from the keep-alive timeout that an upstream
+	// announces, so that no request races with the upstream's close.
 	idleMargin = 1 * timekeeper.Second
 
-	// defaultIdle is how long a connection is kept when the upstream says
-	// nothing of it.
+	// defaultIdle is how long an idle connection is kept if the upstream announces
+	// no keep-alive timeout.
 	defaultIdle = 4 * timekeeper.Second
 )
 
-// conn is one connection to an upstream. One goroutine uses it at a time.
+// conn is a connection to an upstream. It is used by one exchange at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// idleSince is when the last answer ended.
+	// idleSince is when the connection was last returned to the pool.
 	idleSince timekeeper.Millis
-	keep      timekeeper.Millis
+	keepAlive timekeeper.Millis
 	reused    bool
-	// count is told of all bytes that are sent and received, and bytes are their sum.
+	// count is called with the number of bytes sent and received, and bytes is the sum of
+	// both.
 	count Counter
 	bytes atomic.Int64
 }
 
-// bodyWriter writes a body that arrives while it is sent.
-type bodyWriter struct{ to *conn }
+// bodyWriter writes a streamed body without buffering.
+type bodyWriter struct{ out *conn }
 
 func newConn(c net.Conn, count Counter) *conn {
-	k := &conn{Conn: c, keep: defaultIdle, count: count}
+	k := &conn{Conn: c, keepAlive: defaultIdle, count: count}
 	k.reader = bufio.NewReaderSize(k, readBuffer)
 	k.writer = bufio.NewWriterSize(k, writeBuffer)
 	return k
 }
 
-// Read counts what it reads.
+// Read reads from the connection and counts the bytes.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.counted(0, int64(n))
+	c.addBytes(0, int64(n))
 	return n, err
 }
 
-// Write counts what it writes.
+// Write writes to the connection and counts the bytes.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.counted(int64(n), 0)
+	c.addBytes(int64(n), 0)
 	return n, err
 }
 
-// ReadFrom lets bodies that arrive while they are sent pass the small buffer by.
+// ReadFrom lets streamed bodies bypass the small write buffer.
 func (c *conn) ReadFrom(r io.Reader) (int64, error) {
 	return io.Copy(bodyWriter{c}, r)
 }
 
-// Write counts before it writes: the answer to a body may be read by another goroutine as
-// soon as it is written.
+// Write counts the bytes before it writes them, since another goroutine may read the
+// response to a body as soon as the body is written.
 func (w bodyWriter) Write(b []byte) (int, error) {
-	w.to.counted(int64(len(b)), 0)
-	return w.to.Conn.Write(b)
+	w.out.addBytes(int64(len(b)), 0)
+	return w.out.Conn.Write(b)
 }
 
-func (c *conn) counted(sent, received int64) {
+func (c *conn) addBytes(sent, received int64) {
 	c.bytes.Add(sent + received)
 	if c.count != nil {
 		c.count(sent, received)
 	}
 }
 
-// quiet tells whether the other end has neither closed an idle connection nor
-// sent anything on it. What comes without a request belongs to none.
-func (c *conn) quiet() bool {
+// undisturbed reports whether the upstream has neither closed an idle connection nor
+// sent anything on it. Bytes that precede a request cannot be its response.
+func (c *conn) undisturbed() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -108,25 +109,26 @@
 	return err == nil && quiet
 }
 
-// fresh tells whether an idle connection may be used once more.
-func (c *conn) fresh(now timekeeper.Millis) bool {
-	return now-c.idleSince < c.keep
+// withinKeepAlive reports whether an idle connection is still within its keep-alive time.
+func (c *conn) withinKeepAlive(now timekeeper.Millis) bool {
+	return now-c.idleSince < c.keepAlive
 }
 
-// noteKeepAlive takes over how long the upstream keeps the connection.
-func (c *conn) noteKeepAlive(h http.Header) {
+// applyKeepAlive sets the keep-alive time from the Keep-Alive header of a response, less
+// idleMargin.
+func (c *conn) applyKeepAlive(h http.Header) {
 	for _, v := range h["Keep-Alive"] {
 		for _, f := range strings.Split(v, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(f), "=")
 			seconds, err := strconv.Atoi(value)
 			if strings.EqualFold(name, "timeout") && err == nil {
-				c.keep = max(timekeeper.Millis(seconds)*timekeeper.Second-idleMargin, 0)
+				c.keepAlive = max(timekeeper.Millis(seconds)*timekeeper.Second-idleMargin, 0)
 			}
 		}
 	}
 }
 
-// abort ends whatever waits on the connection.
+// abort makes pending and later reads and writes fail with a timeout.
 func (c *conn) abort() {
 	_ = c.Conn.SetDeadline(time.Unix(1, 0))
 }
--- a/internal/connection/sender/pool.go
+++ b/internal/connection/sender/pool.go
@@ -10,19 +10,18 @@
 )
 
 type (
-	// Counter is told of bytes that were sent to an upstream and received from it, those
-	// of heads included.
+	// Counter is called with the number of bytes sent to an upstream and received from it,
+	// including heads.
 	Counter func(sent, received int64)
 
-	// Pool holds the connections to one upstream. Address and Dial must be set
-	// before use.
+	// Pool holds the idle connections to one upstream. Address and Dial must be
+	// set before use.
 	Pool struct {
 		Address string
-		// Dial opens a connection within the time that the context allows.
+		// Dial opens a connection, bounded by the deadline of the context.
 		Dial  func(ctx context.Context, address string) (net.Conn, error)
 		Clock timekeeper.Clock
-		// Count is told of the bytes of all connections. Nil means that nobody wants to
-		// know.
+		// Count, if not nil, counts the bytes of all connections.
 		Count Counter
 
 		lock   sync.Mutex
@@ -32,12 +31,12 @@
 	}
 )
 
-// Dials returns how many connections were opened.
+// Dials returns the number of dials so far, including failed ones.
 func (p *Pool) Dials() uint64 {
 	return p.dials.Load()
 }
 
-// Close closes the idle connections, and each other one once it is idle.
+// Close closes the idle connections, and each connection in use when it is returned.
 func (p *Pool) Close() {
 	p.lock.Lock()
 	idle := p.idle
@@ -46,14 +45,14 @@
 	closeAll(idle)
 }
 
-// Sweep closes the connections that have been idle for too long.
+// Sweep closes the idle connections whose keep-alive time is over.
 func (p *Pool) Sweep() {
 	now := p.Clock.Now()
 	p.lock.Lock()
 	var stale []*conn
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if c.fresh(now) {
+		if c.withinKeepAlive(now) {
 			kept = append(kept, c)
 		} else {
 			stale = append(stale, c)
@@ -65,17 +64,17 @@
 	closeAll(stale)
 }
 
-// get returns a kept connection that is still sound, or a new one. With young
-// set, only a connection that was idle for less than that is taken.
-func (p *Pool) get(ctx context.Context, young timekeeper.Millis) (*conn, error) {
+// get returns an idle connection that is still usable, or a new one. If maxIdle is
+// set, a connection that was idle for that long is not reused.
+func (p *Pool) get(ctx context.Context, maxIdle timekeeper.Millis) (*conn, error) {
 	for {
 		c := p.pop()
 		if c == nil {
 			return p.dial(ctx)
 		}
 		now := p.Clock.Now()
-		tooOld := young > 0 && now-c.idleSince >= young
-		if !tooOld && c.fresh(now) && c.quiet() {
+		tooOld := maxIdle > 0 && now-c.idleSince >= maxIdle
+		if !tooOld && c.withinKeepAlive(now) && c.undisturbed() {
 			c.reused = true
 			return c, nil
 		}
@@ -92,8 +91,8 @@
 	return newConn(c, p.Count), nil
 }
 
-// Check opens a connection, to tell a lost connection from an upstream that has ended, and
-// keeps it for the next request. The error is that of the dial.
+// Check opens a connection and keeps it for the next request. It distinguishes a lost
+// connection from an upstream that has terminated. The error is that of the dial.
 func (p *Pool) Check(ctx context.Context) error {
 	c, err := p.dial(ctx)
 	if err != nil {
@@ -103,8 +102,8 @@
 	return nil
 }
 
-// pop takes the connection that was used last, so that the others grow old and
-// are closed.
+// pop takes the most recently used idle connection, so that the others exceed their
+// keep-alive time and are closed. It returns nil if there is none.
 func (p *Pool) pop() *conn {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/connection/sender/send.go
+++ b/internal/connection/sender/send.go
@@ -17,83 +17,85 @@
 )
 
 const (
-	// maxStray is how many answers to earlier requests are read past before a
-	// connection counts as broken.
-	maxStray = 2
-	// maxStrayBytes bounds the body of such an answer.
-	maxStrayBytes = 1 << 20
+	// maxUnmatched is how many responses to earlier requests are skipped before the
+	// connection is considered broken.
+	maxUnmatched = 2
+	// maxUnmatchedBytes bounds the body of a skipped response.
+	maxUnmatchedBytes = 1 << 20
 )
 
-// The ways in which a request ends without an answer, to be tested with
-// errors.Is.
+// Errors of a request without a response, for use with errors.Is.
 var (
-	// ErrNotSent means that no byte of the request left for the upstream.
+	// ErrNotSent means that no byte of the request was sent, since no connection could
+	// be opened.
 	ErrNotSent = eris.New("request not sent")
-	// ErrWithdrawn means the same, since Check did not allow it any more.
+	// ErrWithdrawn means that no byte of the request was sent, since Check returned
+	// false.
 	ErrWithdrawn = eris.New("request withdrawn before it was sent")
 	// ErrLost means that the request was sent and may have run.
 	ErrLost = eris.New("connection lost after the request was sent")
-	// ErrTimeout means that the request was sent and its time is over.
+	// ErrTimeout means that the request was sent and its deadline passed.
 	ErrTimeout = eris.New("no answer in time")
-	// ErrSilent is an ErrLost whose other end acknowledged nothing any more.
-	ErrSilent = eris.New("upstream went silent")
-	// ErrMalformed means that what came back is no answer.
+	// ErrSilent means that the connection was lost after the request was sent since the
+	// other end stopped acknowledging data (ETIMEDOUT). The request may have run.
+	ErrSilent = eris.New("upstream stopped acknowledging data")
+	// ErrMalformed means that what was received is not a response to the request.
 	ErrMalformed = eris.New("malformed answer")
-	// ErrBody means that the caller did not send the whole body.
-	ErrBody = eris.New("body not received whole")
+	// ErrIncompleteBody means that the caller's body is shorter than its length.
+	ErrIncompleteBody = eris.New("body not received whole")
 )
 
 type (
-	// Request is one sending.
+	// Request is a request to be sent once.
 	Request struct {
 		Method string
-		// Target is path and query as they were received.
+		// Target is the request target, path and query as received.
 		Target string
 		Host   string
 		Header http.Header
-		// Short is the body if it was received whole; else Stream is the body
-		// and Length its length, -1 for one sent in chunks.
+		// Short is the body if it was received completely. Otherwise Stream is
+		// the body and Length its length in bytes, -1 for a chunked body.
 		Short  []byte
 		Stream io.Reader
 		Length int64
-		// EchoField is the name of the field that an upstream echoes, and Echo
-		// the value that tells this request's answer from others. An empty name
-		// turns the comparison off.
+		// EchoField is the name of a header field that the upstream echoes, and
+		// Echo its value, which identifies the response to this request. An empty
+		// name turns the comparison off.
 		EchoField string
 		Echo      string
-		// Until is when the connection is given up, by the monotonic clock.
+		// Until is the deadline of the exchange, by the monotonic clock.
 		Until time.Time
-		// DialTimeout bounds the opening of a connection.
+		// DialTimeout bounds the dial.
 		DialTimeout timekeeper.Millis
-		// Young, if set, is how long a kept connection may have been idle.
+		// Young, if set, bounds how long a reused connection may have been idle.
 		Young timekeeper.Millis
-		// Check is asked right before sending whether the request may still go.
+		// Check, if not nil, reports right before sending whether the request may
+		// still be sent.
 		Check func() bool
 	}
 
-	// Answer is the head of an answer. Its body is read from it; Close must be
-	// called in the end.
+	// Answer is a response. Read reads its body. The caller must call Close.
 	Answer struct {
 		Status int
 		Header http.Header
-		// Length is the length of the body, -1 when it is not known.
+		// Length is the length of the body in bytes, -1 if it is unknown.
 		Length int64
-		// Reused tells that the connection had been used before.
+		// Reused reports whether the connection came from the pool.
 		Reused bool
 
 		pool *Pool
 		conn *conn
-		// before is what the connection had carried before this exchange.
-		before int64
-		body   io.ReadCloser
-		ends   bool
-		done   bool
-		stop   func() bool
-		sent   chan error
+		// bytesBefore is the number of bytes on the connection before this exchange.
+		bytesBefore int64
+		body        io.ReadCloser
+		closes      bool
+		complete    bool
+		stopAbort   func() bool
+		bodyDone    chan error
 	}
 )
 
-// Do sends a request and waits for the head of its answer.
+// Do sends a request and waits for the head of its response.
 func (p *Pool) Do(ctx context.Context, q *Request) (*Answer, error) {
 	c, err := p.connect(ctx, q)
 	if err != nil {
@@ -104,8 +106,8 @@
 		return nil, ErrWithdrawn
 	}
 	_ = c.SetDeadline(q.Until)
-	a := &Answer{pool: p, conn: c, before: c.bytes.Load(), Reused: c.reused}
-	a.stop = context.AfterFunc(ctx, c.abort)
+	a := &Answer{pool: p, conn: c, bytesBefore: c.bytes.Load(), Reused: c.reused}
+	a.stopAbort = context.AfterFunc(ctx, c.abort)
 	if err := a.exchange(q); err != nil {
 		a.Close()
 		return nil, err
@@ -121,29 +123,29 @@
 
 func (a *Answer) exchange(q *Request) error {
 	if err := a.write(q); err != nil {
-		return classify(err)
+		return classifyError(err)
 	}
-	for range maxStray + 1 {
+	for range maxUnmatched + 1 {
 		p, err := a.readHead(q)
 		if err != nil {
-			return classify(err)
+			return classifyError(err)
 		}
 		if q.EchoField == "" || p.Header.Get(q.EchoField) == q.Echo {
-			a.take(p)
+			a.setHead(p)
 			return nil
 		}
 		if p.Header.Get(q.EchoField) == "" {
-			return eris.Wrap(ErrMalformed, "answer without the request's id")
+			return eris.Wrap(ErrMalformed, "response without the request's id")
 		}
-		if err := skip(p); err != nil {
-			return classify(err)
+		if err := skipResponse(p); err != nil {
+			return classifyError(err)
 		}
 	}
-	return eris.Wrap(ErrMalformed, "answers to other requests only")
+	return eris.Wrap(ErrMalformed, "only responses to other requests")
 }
 
-// write sends head and body. A body that is not at hand whole is sent beside the
-// reading of the answer, since an upstream may answer before it has it all.
+// write sends the head and the body. A streamed body is sent by a goroutine of its
+// own, since an upstream may respond before it has received the whole body.
 func (a *Answer) write(q *Request) error {
 	w := a.conn.writer
 	_, _ = w.WriteString(q.Method)
@@ -167,7 +169,7 @@
 		return err
 	}
 	if q.Stream != nil {
-		a.sent = make(chan error, 1)
+		a.bodyDone = make(chan error, 1)
 		go a.runBody(q)
 	}
 	return nil
@@ -177,14 +179,14 @@
 	_, _ = w.WriteString("Content-Length: " + strconv.FormatInt(n, 10) + "\r\n")
 }
 
-// runBody sends a body that arrives while it is sent.
+// runBody sends a streamed body.
 func (a *Answer) runBody(q *Request) {
 	err := a.copyBody(q)
 	if err != nil {
-		// A body that ended early must not look whole.
+		// A truncated body must not look complete.
 		a.conn.abort()
 	}
-	a.sent <- err
+	a.bodyDone <- err
 }
 
 func (a *Answer) copyBody(q *Request) error {
@@ -192,7 +194,7 @@
 	if q.Length >= 0 {
 		n, err := io.Copy(w, io.LimitReader(q.Stream, q.Length))
 		if err == nil && n < q.Length {
-			err = ErrBody
+			err = ErrIncompleteBody
 		}
 		if err != nil {
 			return err
@@ -210,7 +212,7 @@
 	return w.Flush()
 }
 
-// readHead reads the head of a final answer.
+// readHead reads the head of a final response and skips interim ones.
 func (a *Answer) readHead(q *Request) (*http.Response, error) {
 	method := &http.Request{Method: q.Method}
 	for {
@@ -222,41 +224,41 @@
 			return p, nil
 		}
 		if p.StatusCode == http.StatusSwitchingProtocols {
-			return nil, eris.Wrap(ErrMalformed, "unasked change of protocol")
+			return nil, eris.Wrap(ErrMalformed, "unsolicited protocol switch")
 		}
 	}
 }
 
-func (a *Answer) take(p *http.Response) {
+func (a *Answer) setHead(p *http.Response) {
 	a.Status, a.Header, a.Length, a.body = p.StatusCode, p.Header, p.ContentLength, p.Body
-	a.ends = p.Close
-	a.conn.noteKeepAlive(p.Header)
+	a.closes = p.Close
+	a.conn.applyKeepAlive(p.Header)
 }
 
-// Read reads the body. Any error but io.EOF means that it is not whole.
+// Read reads the body. Any error but io.EOF means that the body is incomplete.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if err == io.EOF {
-		a.done = true
+		a.complete = true
 	}
 	return n, err
 }
 
-// Whole tells whether the body was read to its end.
+// Whole reports whether the body was read to its end.
 func (a *Answer) Whole() bool {
-	return a.done
+	return a.complete
 }
 
-// Bytes returns how many bytes were sent and received for this exchange so far.
+// Bytes returns the number of bytes sent and received in this exchange so far.
 func (a *Answer) Bytes() int64 {
-	return a.conn.bytes.Load() - a.before
+	return a.conn.bytes.Load() - a.bytesBefore
 }
 
-// Close gives the connection back if the exchange is complete on both sides, and
-// closes it else, which makes the upstream drop the request.
+// Close returns the connection to the pool if the exchange is complete in both
+// directions. Otherwise it closes the connection, so that the upstream drops the request.
 func (a *Answer) Close() {
-	stopped := a.stop()
-	if a.done && !a.ends && stopped && a.bodySent() && a.conn.reader.Buffered() == 0 {
+	stopped := a.stopAbort()
+	if a.complete && !a.closes && stopped && a.bodySent() && a.conn.reader.Buffered() == 0 {
 		_ = a.conn.SetDeadline(time.Time{})
 		a.pool.put(a.conn)
 		return
@@ -264,38 +266,39 @@
 	_ = a.conn.Close()
 }
 
-// bodySent tells whether the body left whole. The writer of one that did not is
-// ended with the connection.
+// bodySent reports whether the body was sent completely. If not, closing the connection
+// ends the goroutine that sends it.
 func (a *Answer) bodySent() bool {
-	if a.sent == nil {
+	if a.bodyDone == nil {
 		return true
 	}
 	select {
-	case err := <-a.sent:
+	case err := <-a.bodyDone:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// skip reads past an answer that belongs to an earlier request.
-func skip(p *http.Response) error {
+// skipResponse reads and discards a response to an earlier request.
+func skipResponse(p *http.Response) error {
 	if p.Close {
-		return eris.Wrap(ErrMalformed, "stray answer that ends the connection")
+		return eris.Wrap(ErrMalformed, "response to an earlier request closes the connection")
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(p.Body, maxStrayBytes))
-	if err == nil && n == maxStrayBytes {
-		err = eris.Wrap(ErrMalformed, "stray answer too long")
+	n, err := io.Copy(io.Discard, io.LimitReader(p.Body, maxUnmatchedBytes))
+	if err == nil && n == maxUnmatchedBytes {
+		err = eris.Wrap(ErrMalformed, "response to an earlier request too long")
 	}
 	return err
 }
 
-// classify tells what an error after the beginning of a sending means.
-func classify(err error) error {
+// classifyError wraps an error that occurred after sending began in the matching exported
+// error.
+func classifyError(err error) error {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return eris.Wrap(ErrTimeout, "upstream")
-	case errors.Is(err, ErrMalformed), errors.Is(err, ErrBody):
+	case errors.Is(err, ErrMalformed), errors.Is(err, ErrIncompleteBody):
 		return err
 	case errors.Is(err, syscall.ETIMEDOUT):
 		return eris.Wrapf(ErrSilent, "%v", err)
--- a/internal/connection/sender/send_test.go
+++ b/internal/connection/sender/send_test.go
@@ -23,13 +23,13 @@
 
 const echoField = "X-Id"
 
-// script is an upstream whose connections are handled by a function each.
+// script is an upstream that runs a function for each connection.
 type script struct {
 	pool  *sender.Pool
 	heads chan string
 }
 
-// conn reads what was read together with a head first.
+// conn is a connection that reads through the buffer from which its heads were read.
 type conn struct {
 	*net.TCPConn
 	reader *bufio.Reader
@@ -37,8 +37,8 @@
 
 func (c conn) Read(b []byte) (int, error) { return c.reader.Read(b) }
 
-// newScript starts an upstream. Play gets the connection and a function that reads
-// the head of the next request, "" at the end.
+// newScript starts an upstream. It calls play with each connection and a function that
+// returns the head of the next request, or "" at the end of the connection.
 func newScript(t *testing.T, play func(c conn, next func() string)) *script {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -98,11 +98,11 @@
 	}
 }
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", echoField, id, len(body), body)
 }
 
-// get sends a request and returns the body of its answer.
+// get sends a request and returns the body of its response.
 func (s *script) get(q *sender.Request) (string, error) {
 	a, err := s.pool.Do(context.Background(), q)
 	if err != nil {
@@ -117,7 +117,7 @@
 	is := is.New(t)
 	s := newScript(t, func(c conn, next func() string) {
 		for i := 0; next() != ""; i++ {
-			_, _ = io.WriteString(c, answer(fmt.Sprint(i), fmt.Sprint("body ", i)))
+			_, _ = io.WriteString(c, response(fmt.Sprint(i), fmt.Sprint("body ", i)))
 		}
 	})
 	for i := range 3 {
@@ -132,19 +132,19 @@
 func TestAnswersAreNeverMixedUp(t *testing.T) {
 	tests := []struct {
 		name string
-		// first is sent for request 1, second for request 2.
+		// first is the response to request 1, second that to request 2.
 		first, second string
 		want          error
 		dials         uint64
 	}{
-		{"second answer to the first request", answer("1", "one") + answer("1", "again"), answer("2", "two"), nil, 2},
-		{"late answer before the next", answer("1", "one"), answer("1", "again") + answer("2", "two"), nil, 1},
-		{"answers to others only", answer("1", "one"), answer("1", "x") + answer("1", "y") + answer("1", "z"), sender.ErrMalformed, 1},
-		{"answer without an id", answer("1", "one"), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo", sender.ErrMalformed, 1},
-		{"no answer in the protocol", answer("1", "one"), "rubbish\r\n\r\n", sender.ErrLost, 1},
-		{"interim answer", answer("1", "one"), "HTTP/1.1 102 Processing\r\n\r\n" + answer("2", "two"), nil, 1},
-		{"change of protocol", answer("1", "one"), "HTTP/1.1 101 Switching Protocols\r\n\r\n", sender.ErrMalformed, 1},
-		{"bytes behind the answer", answer("1", "one") + "more", answer("2", "two"), nil, 2},
+		{"second answer to the first request", response("1", "one") + response("1", "again"), response("2", "two"), nil, 2},
+		{"late answer before the next", response("1", "one"), response("1", "again") + response("2", "two"), nil, 1},
+		{"answers to others only", response("1", "one"), response("1", "x") + response("1", "y") + response("1", "z"), sender.ErrMalformed, 1},
+		{"answer without an id", response("1", "one"), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo", sender.ErrMalformed, 1},
+		{"no answer in the protocol", response("1", "one"), "rubbish\r\n\r\n", sender.ErrLost, 1},
+		{"interim answer", response("1", "one"), "HTTP/1.1 102 Processing\r\n\r\n" + response("2", "two"), nil, 1},
+		{"change of protocol", response("1", "one"), "HTTP/1.1 101 Switching Protocols\r\n\r\n", sender.ErrMalformed, 1},
+		{"bytes behind the answer", response("1", "one") + "more", response("2", "two"), nil, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -238,7 +238,8 @@
 	is.True(errors.Is(err, sender.ErrWithdrawn))
 }
 
-// silentConn is a connection whose other end acknowledged nothing in time.
+// silentConn is a connection whose reads fail with ETIMEDOUT, as they do when the other
+// end does not acknowledge data in time.
 type silentConn struct{ net.Conn }
 
 func (silentConn) Read([]byte) (int, error) {
@@ -262,7 +263,7 @@
 	ended := make(chan bool)
 	s := newScript(t, func(_ conn, next func() string) {
 		next()
-		// Nothing more comes before the connection ends.
+		// The connection must end without another request.
 		ended <- next() == ""
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -275,13 +276,13 @@
 	is.True(<-ended)
 }
 
-// An upstream may answer before it has read a long body. The rest of the body is
-// not sent, and no other request goes over that connection.
+// An upstream may respond before it has read a long body. The rest of the body must not
+// be sent, and the connection must not be reused.
 func TestEarlyAnswerToALongBody(t *testing.T) {
 	is := is.New(t)
 	s := newScript(t, func(c conn, next func() string) {
 		if next() != "" {
-			_, _ = io.WriteString(c, answer("1", "early"))
+			_, _ = io.WriteString(c, response("1", "early"))
 		}
 		_, _ = io.Copy(io.Discard, c)
 	})
@@ -314,7 +315,7 @@
 					}
 					got += string(b[:n])
 				}
-				_, _ = io.WriteString(c, answer("1", got))
+				_, _ = io.WriteString(c, response("1", got))
 			})
 			q := request("1")
 			q.Method, q.Stream, q.Length = http.MethodPost, strings.NewReader("hello"), length
@@ -329,17 +330,17 @@
 	}
 }
 
-// TestBytesAreCounted counts two exchanges over one connection, of which the second has a
-// body that arrives while it is sent.
+// TestBytesAreCounted checks the byte counts of two exchanges over one connection, the
+// second with a streamed body.
 func TestBytesAreCounted(t *testing.T) {
 	is := is.New(t)
 	const body = "a body that is sent while it arrives"
 	s := newScript(t, func(c conn, next func() string) {
 		next()
-		_, _ = io.WriteString(c, answer("1", "one"))
+		_, _ = io.WriteString(c, response("1", "one"))
 		next()
 		_, _ = io.CopyN(io.Discard, c, int64(len(body)))
-		_, _ = io.WriteString(c, answer("2", "two and more"))
+		_, _ = io.WriteString(c, response("2", "two and more"))
 	})
 	var sent, received atomic.Int64
 	s.pool.Count = func(out, in int64) {
@@ -356,18 +357,18 @@
 	}
 	first := exchange(request("1"))
 	is.Equal(sent.Load(), int64(len(<-s.heads)))
-	is.Equal(received.Load(), int64(len(answer("1", "one"))))
+	is.Equal(received.Load(), int64(len(response("1", "one"))))
 	is.Equal(first, sent.Load()+received.Load())
 
 	q := request("2")
 	q.Method, q.Stream, q.Length = http.MethodPost, strings.NewReader(body), int64(len(body))
 	second := exchange(q)
 	is.Equal(first+second, sent.Load()+received.Load())
-	is.Equal(second, int64(len(<-s.heads)+len(body)+len(answer("2", "two and more"))))
+	is.Equal(second, int64(len(<-s.heads)+len(body)+len(response("2", "two and more"))))
 	is.Equal(s.pool.Dials(), uint64(1))
 }
 
-// lateConn returns from the write of a body only when it is told to.
+// lateConn writes a body and then blocks until told is closed.
 type lateConn struct {
 	net.Conn
 	body string
@@ -382,15 +383,16 @@
 	return n, err
 }
 
-// An answer was read before the body that it answers was counted, by the goroutine that had just
-// written it: 36 bytes, the body, were missing in one run of TestBytesAreCounted beside load.
+// TestBodyIsCountedBeforeItsAnswer guards against a race between the goroutine that writes
+// a body and the reader of its response: if the body is counted after its write, the
+// response may be read first, and the 36 bytes of the body are missing from the count.
 func TestBodyIsCountedBeforeItsAnswer(t *testing.T) {
 	is := is.New(t)
 	const body = "a body that is sent while it arrives"
 	s := newScript(t, func(c conn, next func() string) {
 		next()
 		_, _ = io.CopyN(io.Discard, c, int64(len(body)))
-		_, _ = io.WriteString(c, answer("1", "one"))
+		_, _ = io.WriteString(c, response("1", "one"))
 	})
 	told := make(chan struct{})
 	dial := s.pool.Dial
@@ -404,12 +406,13 @@
 	is.NoErr(err)
 	_, err = io.ReadAll(a)
 	is.NoErr(err)
-	is.Equal(a.Bytes(), int64(len(<-s.heads)+len(body)+len(answer("1", "one"))))
+	is.Equal(a.Bytes(), int64(len(<-s.heads)+len(body)+len(response("1", "one"))))
 	close(told)
 	a.Close()
 }
 
-// One exchange over a kept connection, with its bytes counted.
+// BenchmarkExchange measures one exchange over a persistent connection, with its bytes
+// counted.
 func BenchmarkExchange(b *testing.B) {
 	is := is.New(b)
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
