--- a/internal/connection/sender/conn.go
+++ b/internal/connection/sender/conn.go
@@ -99,14 +99,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	undisturbed := false
 	var b [1]byte
 	err = raw.Read(func(fd uintptr) bool {
 		_, err := syscall.Read(int(fd), b[:])
-		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		undisturbed = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && undisturbed
 }
 
 // withinKeepAlive reports whether an idle connection is still within its keep-alive time.
