--- a/internal/connection/pipeliner/body.go
+++ b/internal/connection/pipeliner/body.go
@@ -10,50 +10,52 @@
 )
 
 const (
-	// mostDrained is how much of a body that its handler did not read is read past to
-	// keep the connection: as much as the standard library's server does.
-	mostDrained = 256 << 10
+	// maxDrainBytes is how much of an unread body is discarded to keep the connection:
+	// as much as in the server of the standard library.
+	maxDrainBytes = 256 << 10
 
-	// drainFor bounds the wait for such a body. Most of it comes right behind its head.
-	drainFor = 500 * time.Millisecond
+	// drainTimeout bounds the read of such a body. Most bodies arrive with their head.
+	drainTimeout = 500 * time.Millisecond
 
 	continueLine = "HTTP/1.1 100 Continue\r\n\r\n"
 )
 
-// errLate is what a body returns that its handler reads after the answer.
-var errLate = errors.New("body read after its answer")
+// errBodyAfterHandler is returned by a body that is read after its handler returned.
+var errBodyAfterHandler = errors.New("request body read after its handler returned")
 
-// requestBody is the body of the one request that is handled on a connection.
+// requestBody is the body of a request. A request with a body is handled alone on its
+// connection.
 type requestBody struct {
 	conn   *conn
 	source io.ReadCloser
-	// ended is closed when nothing more is read: at the end of the body or of its
-	// handler.
-	ended chan struct{}
-	once  sync.Once
-	whole atomic.Bool
-	// closed tells that the handler returned.
+	// ended is closed when the body is no longer read: at its end or when its handler
+	// is done.
+	ended    chan struct{}
+	once     sync.Once
+	complete atomic.Bool
+	// closed reports whether the handler returned.
 	closed atomic.Bool
 
 	lock sync.Mutex
-	// expected tells that the caller waits for a sign to send the body.
-	expected bool
+	// awaitingContinue reports whether the caller waits for 100 Continue before it sends
+	// the body.
+	awaitingContinue bool
 }
 
 func newBody(c *conn, r *http.Request) *requestBody {
-	return &requestBody{conn: c, source: r.Body, ended: make(chan struct{}), expected: expectsContinue(r) && r.ProtoAtLeast(1, 1)}
+	return &requestBody{conn: c, source: r.Body, ended: make(chan struct{}), awaitingContinue: expectsContinue(r) && r.ProtoAtLeast(1, 1)}
 }
 
-// Read reads the body. Any error but io.EOF means that it did not come whole.
+// Read reads the body. Any error but io.EOF means that the body is incomplete.
 func (b *requestBody) Read(p []byte) (int, error) {
 	if b.closed.Load() {
-		return 0, errLate
+		return 0, errBodyAfterHandler
 	}
-	b.invite()
+	b.sendContinue()
 	return b.read(p)
 }
 
-// Close is for handlers that close bodies. The server reads past the rest.
+// Close does nothing. The server discards the rest of the body.
 func (b *requestBody) Close() error {
 	return nil
 }
@@ -62,7 +64,7 @@
 	n, err := b.source.Read(p)
 	switch {
 	case err == io.EOF:
-		b.whole.Store(true)
+		b.complete.Store(true)
 		b.end()
 	case err != nil:
 		b.conn.cancel()
@@ -74,44 +76,44 @@
 	b.once.Do(func() { close(b.ended) })
 }
 
-// invite asks the caller for the body, once.
-func (b *requestBody) invite() {
+// sendContinue sends 100 Continue once if the caller waits for it.
+func (b *requestBody) sendContinue() {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	if !b.expected {
+	if !b.awaitingContinue {
 		return
 	}
-	b.expected = false
+	b.awaitingContinue = false
 	_, _ = b.conn.writer.WriteString(continueLine)
 	if b.conn.writer.Flush() != nil {
 		b.conn.cancel()
 	}
 }
 
-// settle reads past the rest of the body before the answer, and reports false if the
-// connection cannot be used for another request.
-func (b *requestBody) settle() bool {
+// discardRest discards the rest of the body before the response is written. It reports
+// whether the connection can be used for another request.
+func (b *requestBody) discardRest() bool {
 	b.lock.Lock()
-	expected := b.expected
-	b.expected = false
+	expected := b.awaitingContinue
+	b.awaitingContinue = false
 	b.lock.Unlock()
 	switch {
-	case b.whole.Load():
+	case b.complete.Load():
 		return true
 	case expected:
-		// The caller may or may not send the body now.
+		// It is not known whether the caller sends the body now.
 		return false
 	}
-	_ = b.conn.Conn.SetReadDeadline(time.Now().Add(drainFor))
-	n, err := io.Copy(io.Discard, io.LimitReader(readerFunc(b.read), mostDrained+1))
+	_ = b.conn.Conn.SetReadDeadline(time.Now().Add(drainTimeout))
+	n, err := io.Copy(io.Discard, io.LimitReader(readerFunc(b.read), maxDrainBytes+1))
 	_ = b.conn.Conn.SetReadDeadline(time.Time{})
-	return err == nil && n <= mostDrained
+	return err == nil && n <= maxDrainBytes
 }
 
-// readerFunc is a function that reads.
+// readerFunc is an io.Reader that calls a function.
 type readerFunc func([]byte) (int, error)
 
-// Read calls the function.
+// Read calls f.
 func (f readerFunc) Read(p []byte) (int, error) {
 	return f(p)
 }
--- a/internal/connection/pipeliner/conn.go
+++ b/internal/connection/pipeliner/conn.go
@@ -14,35 +14,36 @@
 )
 
 const (
-	// readBuffer and writeBuffer are those of the standard library's server: heads and
-	// most answers fit. readBuffer is also how much is read ahead of a request that
-	// waits.
+	// readBuffer and writeBuffer have the sizes of the server of the standard library:
+	// heads and most responses fit. readBuffer is also how much is read ahead while a
+	// request waits.
 	readBuffer  = 4 << 10
 	writeBuffer = 4 << 10
 
-	// lingerFor is how long a closed connection is read on, so that bytes which the
-	// caller sent meanwhile do not reset it before the last answer has arrived: two
-	// round trips between distant regions, and a second packet.
-	lingerFor = 500 * time.Millisecond
+	// lingerTimeout is how long a connection is read after its write side was closed.
+	// Otherwise bytes that the caller sent meanwhile reset it before the last response
+	// has arrived. It allows two round trips between distant regions and a second
+	// packet.
+	lingerTimeout = 500 * time.Millisecond
 )
 
-// What the reader of a connection waits for.
+// The phases of a connection: what its reader waits for.
 const (
-	// idle is the first byte of a head.
+	// idle: the first byte of a head.
 	idle phase = iota
-	// head is the rest of it.
+	// head: the rest of a head.
 	head
-	// waiting is the turn of a request that was read.
+	// waiting: the start of a request that was read, or the last response.
 	waiting
-	// body is the end of a request's body, which its handler reads.
+	// body: the end of the body of a request, which its handler reads.
 	body
-	// ended is that no request is read any more.
+	// ended: nothing, since no request is read any more.
 	ended
 )
 
 var (
-	// past is a deadline that ends a read at once.
-	past = time.Unix(1, 0)
+	// expiredDeadline is a deadline in the past, which makes a read return at once.
+	expiredDeadline = time.Unix(1, 0)
 
 	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
 	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBuffer) }}
@@ -51,8 +52,8 @@
 type (
 	phase int
 
-	// conn is one connection of a caller. A goroutine of its own reads requests; the
-	// answer that is the first of pending owns the writer.
+	// conn is a connection of a caller. Its own goroutine reads requests. The first
+	// response of pending owns the writer.
 	conn struct {
 		net.Conn
 		server *Server
@@ -61,71 +62,72 @@
 		writer *bufio.Writer
 		ctx    context.Context
 		cancel context.CancelFunc
-		// headRest is how many bytes of a head may still be read, if bounded.
-		headRest int64
-		bounded  bool
-		// emptyLines is how many characters of empty lines may come before a head.
+		// headRemaining is how many more bytes of a head may be read, if headBounded.
+		headRemaining int64
+		headBounded   bool
+		// emptyLines is how many bytes of line ends may precede the next head.
 		emptyLines int
-		// readAt is when bytes came last.
-		readAt timekeeper.Millis
+		// lastRead is when bytes were last received.
+		lastRead timekeeper.Millis
 
 		lock sync.Mutex
-		// changed is told of each change of what follows.
+		// changed is signalled when responses are written or the connection is broken.
 		changed *sync.Cond
 		phase   phase
-		// pending are the requests that were begun and are not answered, in order.
-		pending []*answer
-		// next is the request that waits for its turn.
-		next *answer
-		// closing tells that no request is begun any more.
+		// pending holds the responses of started requests that are not yet written, in
+		// the order of the requests.
+		pending []*response
+		// next is the response of the request that waits to be started.
+		next *response
+		// closing reports whether no request may be started any more.
 		closing bool
-		// broken tells that nothing may be written any more.
+		// broken reports whether nothing may be written any more.
 		broken bool
-		// unread tells that a body was not read to its end.
-		unread bool
-		// idleSince is when the last answer was written.
+		// bodyUnread reports whether a body was not read to its end.
+		bodyUnread bool
+		// idleSince is when the last response was written.
 		idleSince timekeeper.Millis
-		// unlimited tells that no deadline is set.
-		unlimited bool
+		// noDeadline reports whether no read deadline is set.
+		noDeadline bool
 	}
 )
 
 func newConn(s *Server, n net.Conn) *conn {
-	c := &conn{Conn: n, server: s, remote: n.RemoteAddr().String(), unlimited: true, idleSince: s.Clock.Now()}
+	c := &conn{Conn: n, server: s, remote: n.RemoteAddr().String(), noDeadline: true, idleSince: s.Clock.Now()}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.changed = sync.NewCond(&c.lock)
 	c.reader = readers.Get().(*bufio.Reader)
-	c.reader.Reset(source{c})
+	c.reader.Reset(connReader{c})
 	c.writer = writers.Get().(*bufio.Writer)
 	c.writer.Reset(n)
 	return c
 }
 
-// run reads requests and begins each when its turn has come.
+// run reads requests and starts each as soon as it may.
 func (c *conn) run() {
-	defer c.end()
+	defer c.shutdown()
 	for {
-		r, refusal, ok := c.read()
+		r, refusal, ok := c.readRequest()
 		if !ok {
 			return
 		}
-		a := newAnswer(c, r, refusal)
-		if !c.await(a) {
+		p := newResponse(c, r, refusal)
+		if !c.awaitStart(p) {
 			return
 		}
-		go a.run()
-		if a.body != nil {
-			<-a.body.ended
+		go p.run()
+		if p.body != nil {
+			<-p.body.ended
 		}
-		if a.last {
-			c.drain()
+		if p.last {
+			c.awaitResponses()
 			return
 		}
 	}
 }
 
-// end waits for the answers that are under way and closes the connection.
-func (c *conn) end() {
+// shutdown waits for pending responses and closes the connection.
+func (c *conn) shutdown() {
 	c.lock.Lock()
 	c.phase = ended
 	for len(c.pending) > 0 {
@@ -138,64 +140,65 @@
 		c.linger()
 	}
 	_ = c.Conn.Close()
-	c.server.forget(c)
-	c.reuse()
+	c.server.untrack(c)
+	c.releaseBuffers()
 }
 
-// reuse gives the buffers back.
-func (c *conn) reuse() {
+// releaseBuffers returns the buffers to their pools.
+func (c *conn) releaseBuffers() {
 	c.writer.Reset(nil)
 	writers.Put(c.writer)
-	if c.unread {
-		// A handler may have left a goroutine behind that still reads the body.
+	if c.bodyUnread {
+		// A goroutine that a handler left running may still read the body.
 		return
 	}
 	c.reader.Reset(nil)
 	readers.Put(c.reader)
 }
 
-// linger reads past what the caller sent behind the last request that was begun. To
-// close a connection with unread bytes resets it, and the caller may lose its answer.
+// linger discards what the caller sent after the last request that was started. Closing
+// a connection with unread bytes resets it, and the caller may lose its response.
 func (c *conn) linger() {
 	if t, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = t.CloseWrite()
 	}
-	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerFor))
+	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, c.Conn)
 }
 
-// await waits until a may begin, and begins it. It reports false if it never may.
-func (c *conn) await(a *answer) bool {
+// awaitStart waits until the request of p may start, and records its start. It reports
+// false if the request must not start any more.
+func (c *conn) awaitStart(p *response) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.phase, c.next = waiting, a
+	c.phase, c.next = waiting, p
 	over := func() bool { return c.closing || c.broken }
-	if !c.watch(func() bool { return over() || c.mayBegin(a) }) || over() {
+	if !c.readAheadUntil(func() bool { return over() || c.mayBegin(p) }) || over() {
 		return false
 	}
-	c.begin(a)
+	c.begin(p)
 	return true
 }
 
-// drain waits until all that was begun is answered.
-func (c *conn) drain() {
+// awaitResponses waits until all pending responses are written.
+func (c *conn) awaitResponses() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.phase = waiting
-	c.watch(func() bool { return len(c.pending) == 0 || c.broken })
+	c.readAheadUntil(func() bool { return len(c.pending) == 0 || c.broken })
 }
 
-// watch reads ahead until a condition holds, so that a caller that leaves meanwhile is
-// seen, and reports false if it did. The caller holds the lock.
-func (c *conn) watch(done func() bool) bool {
+// readAheadUntil reads ahead until done returns true, so that it notices if the caller
+// disconnects, and reports false in that case. The caller holds the lock.
+func (c *conn) readAheadUntil(done func() bool) bool {
 	for !done() {
-		c.setLimit(0)
+		c.setReadTimeout(0)
 		c.lock.Unlock()
 		err := c.fill()
 		c.lock.Lock()
 		switch {
-		case err == errFull:
-			// No more can be read ahead.
+		case err == errBufferFull:
+			// The read buffer is full: only wait.
 			for !done() {
 				c.changed.Wait()
 			}
@@ -207,48 +210,48 @@
 	return true
 }
 
-// mayBegin tells whether a request may begin beside those that are under way. The
+// mayBegin reports whether a request may start while the pending ones are handled. The
 // caller holds the lock.
-func (c *conn) mayBegin(a *answer) bool {
+func (c *conn) mayBegin(p *response) bool {
 	n := len(c.pending)
 	switch {
 	case n == 0:
 		return true
-	case n >= maxAhead || c.server.ahead.Load() >= maxAheadInAll:
+	case n >= maxPipelined || c.server.pipelined.Load() >= maxPipelinedTotal:
 		return false
 	}
-	return a.overlaps() && c.pending[0].overlaps()
+	return p.mayOverlap() && c.pending[0].mayOverlap()
 }
 
-// begin notes that a request is handled. The caller holds the lock.
-func (c *conn) begin(a *answer) {
+// begin records the start of a request. The caller holds the lock.
+func (c *conn) begin(p *response) {
 	if len(c.pending) > 0 {
-		a.ahead = true
-		c.server.ahead.Add(1)
+		p.pipelined = true
+		c.server.pipelined.Add(1)
 	}
 	c.next = nil
 	c.phase = idle
-	if a.body != nil {
+	if p.body != nil {
 		c.phase = body
 	}
-	c.pending = append(c.pending, a)
-	c.setLimit(0)
+	c.pending = append(c.pending, p)
+	c.setReadTimeout(0)
 }
 
-// pop notes that the first answer is written. The caller holds the lock.
+// pop removes the first of pending, which is written. The caller holds the lock.
 func (c *conn) pop() {
-	a := c.pending[0]
+	p := c.pending[0]
 	copy(c.pending, c.pending[1:])
 	c.pending[len(c.pending)-1] = nil
 	c.pending = c.pending[:len(c.pending)-1]
-	if a.ahead {
-		c.server.ahead.Add(-1)
+	if p.pipelined {
+		c.server.pipelined.Add(-1)
 	}
 }
 
-// settle lets the reader and the next answer know that one was written. The caller
+// advance wakes the reader and the next response after one was written. The caller
 // holds the lock.
-func (c *conn) settle() {
+func (c *conn) advance() {
 	c.changed.Broadcast()
 	if len(c.pending) == 0 {
 		c.idleSince = c.server.Clock.Now()
@@ -257,13 +260,13 @@
 	case c.broken, c.closing && len(c.pending) == 0:
 		c.interrupt()
 	case c.phase == idle && len(c.pending) == 0:
-		c.setLimit(c.server.idleTimeout())
+		c.setReadTimeout(c.server.idleTimeout())
 	case c.phase == waiting && (c.next == nil && len(c.pending) == 0 || c.next != nil && c.mayBegin(c.next)):
 		c.interrupt()
 	}
 }
 
-// closeIfIdle closes the connection if nothing is under way on it.
+// closeIfIdle closes the connection if it has no request.
 func (c *conn) closeIfIdle() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -273,39 +276,40 @@
 	}
 }
 
-// interrupt ends the reader's wait. The caller holds the lock.
+// interrupt makes the pending read return. The caller holds the lock.
 func (c *conn) interrupt() {
-	c.unlimited = false
-	_ = c.Conn.SetReadDeadline(past)
+	c.noDeadline = false
+	_ = c.Conn.SetReadDeadline(expiredDeadline)
 }
 
-// setLimit sets how long the next read may take, 0 for no limit. The caller holds the
-// lock.
-func (c *conn) setLimit(m timekeeper.Millis) {
+// setReadTimeout sets how long the next read may take. 0 means no limit. The caller holds
+// the lock.
+func (c *conn) setReadTimeout(m timekeeper.Millis) {
 	switch {
 	case m > 0:
-		c.unlimited = false
+		c.noDeadline = false
 		_ = c.Conn.SetReadDeadline(time.Now().Add(m.Duration()))
-	case !c.unlimited:
-		c.unlimited = true
+	case !c.noDeadline:
+		c.noDeadline = true
 		_ = c.Conn.SetReadDeadline(time.Time{})
 	}
 }
 
-// errFull is what fill returns when the buffer has no room.
-var errFull = errors.New("read buffer is full")
+// errBufferFull is returned by fill if the read buffer is full.
+var errBufferFull = errors.New("read buffer is full")
 
-// fill reads more bytes without taking any.
+// fill reads at least one more byte into the read buffer.
 func (c *conn) fill() error {
 	n := c.reader.Buffered()
 	if n == c.reader.Size() {
-		return errFull
+		return errBufferFull
 	}
 	_, err := c.reader.Peek(n + 1)
 	return err
 }
 
-// fail ends the connection after something could not be written, or must not be.
+// fail marks the connection as broken after a failed write, or when nothing more may be
+// written.
 func (c *conn) fail() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -315,23 +319,23 @@
 	c.interrupt()
 }
 
-// source counts what is read from a connection.
-type source struct {
+// connReader reads from a connection, bounds the head and records the time of each read.
+type connReader struct {
 	*conn
 }
 
-// Read reads from the connection, and no more of a head than is allowed.
-func (s source) Read(b []byte) (int, error) {
-	if s.bounded {
-		if s.headRest <= 0 {
+// Read reads from the connection. It returns io.EOF if the head exceeds its bound.
+func (s connReader) Read(b []byte) (int, error) {
+	if s.headBounded {
+		if s.headRemaining <= 0 {
 			return 0, io.EOF
 		}
-		b = b[:min(int64(len(b)), s.headRest)]
+		b = b[:min(int64(len(b)), s.headRemaining)]
 	}
 	n, err := s.Conn.Read(b)
 	if n > 0 {
-		s.readAt = s.server.Clock.Now()
-		s.headRest -= int64(n)
+		s.lastRead = s.server.Clock.Now()
+		s.headRemaining -= int64(n)
 	}
 	return n, err
 }
--- a/internal/connection/pipeliner/date.go
+++ b/internal/connection/pipeliner/date.go
@@ -8,7 +8,7 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// stamp is a moment as header fields write it.
+// stamp is a second of wall-clock time, formatted for a Date header.
 type stamp struct {
 	second timekeeper.Millis
 	text   string
@@ -16,7 +16,7 @@
 
 var lastStamp atomic.Pointer[stamp]
 
-// date returns the time of day. It is formatted once a second.
+// date returns the current value of a Date header. It is formatted at most once per second.
 func date(c timekeeper.Clock) string {
 	now := c.WallNow() / timekeeper.Second
 	if s := lastStamp.Load(); s != nil && s.second == now {
--- a/internal/connection/pipeliner/doc.go
+++ b/internal/connection/pipeliner/doc.go
@@ -1,11 +1,10 @@
-// Package pipeliner serves HTTP/1.1 to callers that may send requests before the
-// earlier ones of their connection are answered. Requests that may be repeated and
-// have no body are handled side by side, and answers go out in the order of the
-// requests. Any other request is handled alone: it begins when all before it are
-// answered, and nothing behind it begins until it is.
+// Package pipeliner is an HTTP/1.1 server for callers that pipeline requests.
+// Requests that may be retried and have no body are handled concurrently, and their
+// responses are sent in the order of the requests. Any other request is handled alone:
+// it starts after all earlier responses are written, and later requests wait for it.
 //
-// Heads and bodies are read by net/http. What differs from the server there is that
-// a connection is read all the time, so that a caller that leaves is seen however
-// much it has sent, and that an answer closes its connection only if no request
-// behind it was begun.
+// Heads and bodies are parsed by net/http. There are two differences from its server.
+// A connection is always being read, so that a caller that disconnects is noticed
+// however much it has sent. And a response closes its connection only if no later
+// request was started.
 package pipeliner
--- a/internal/connection/pipeliner/framing.go
+++ b/internal/connection/pipeliner/framing.go
@@ -10,46 +10,46 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// skipped are the fields that are written by the connection and not the handler.
-var skipped = map[string]bool{"Connection": true, "Transfer-Encoding": true, "Content-Length": true}
+// connectionFields are the header fields that the connection writes itself.
+var connectionFields = map[string]bool{"Connection": true, "Transfer-Encoding": true, "Content-Length": true}
 
-// writeHead writes the head of the answer, whose turn it is.
-func (a *answer) writeHead() {
-	a.began = true
-	w := a.conn.writer
+// writeHead writes the head of the response, which must be the first of pending.
+func (p *response) writeHead() {
+	p.headWritten = true
+	w := p.conn.writer
 	_, _ = w.WriteString("HTTP/1.1 ")
-	_, _ = w.WriteString(strconv.Itoa(a.status))
+	_, _ = w.WriteString(strconv.Itoa(p.status))
 	_ = w.WriteByte(' ')
-	_, _ = w.WriteString(http.StatusText(a.status))
+	_, _ = w.WriteString(http.StatusText(p.status))
 	_, _ = w.WriteString("\r\n")
-	ends := a.writeFraming()
-	if a.closes(ends) {
+	ends := p.writeFraming()
+	if p.closesAfter(ends) {
 		_, _ = w.WriteString("Connection: close\r\n")
-	} else if a.request != nil && !a.request.ProtoAtLeast(1, 1) {
+	} else if p.request != nil && !p.request.ProtoAtLeast(1, 1) {
 		_, _ = w.WriteString("Connection: keep-alive\r\n")
 	}
-	if _, ok := a.fields["Date"]; !ok {
+	if _, ok := p.sentHeader["Date"]; !ok {
 		_, _ = w.WriteString("Date: ")
-		_, _ = w.WriteString(date(a.conn.server.Clock))
+		_, _ = w.WriteString(date(p.conn.server.Clock))
 		_, _ = w.WriteString("\r\n")
 	}
-	_ = a.fields.WriteSubset(w, a.skipped())
+	_ = p.sentHeader.WriteSubset(w, p.excludedFields())
 	_, _ = w.WriteString("\r\n")
 }
 
-// writeFraming says where the body ends, and reports true if it ends with the
-// connection.
-func (a *answer) writeFraming() (ends bool) {
-	w := a.conn.writer
+// writeFraming writes the header field that tells where the body ends. It reports
+// whether the body ends with the connection.
+func (p *response) writeFraming() (ends bool) {
+	w := p.conn.writer
 	switch {
-	case a.status == http.StatusNoContent:
-	case a.length >= 0:
+	case p.status == http.StatusNoContent:
+	case p.length >= 0:
 		_, _ = w.WriteString("Content-Length: ")
-		_, _ = w.WriteString(strconv.FormatInt(a.length, 10))
+		_, _ = w.WriteString(strconv.FormatInt(p.length, 10))
 		_, _ = w.WriteString("\r\n")
-	case a.bare:
-	case a.request != nil && a.request.ProtoAtLeast(1, 1):
-		a.chunked = true
+	case p.bodiless:
+	case p.request != nil && p.request.ProtoAtLeast(1, 1):
+		p.chunked = true
 		_, _ = w.WriteString("Transfer-Encoding: chunked\r\n")
 	default:
 		return true
@@ -57,39 +57,41 @@
 	return false
 }
 
-// closes tells whether the connection ends with this answer. An answer that would end
-// it lets those pass that were begun behind it: the last of them ends it.
-func (a *answer) closes(ends bool) bool {
-	c := a.conn
-	ends = ends || a.last || httpguts.HeaderValuesContainsToken(a.fields["Connection"], "close") || c.server.leaving()
-	read := a.body == nil || a.body.settle()
+// closesAfter reports whether the connection is closed after this response. If later
+// requests have been started, the last of their responses closes it instead. ends
+// reports whether the body ends with the connection.
+func (p *response) closesAfter(ends bool) bool {
+	c := p.conn
+	ends = ends || p.last || httpguts.HeaderValuesContainsToken(p.sentHeader["Connection"], "close") || c.server.isDraining()
+	read := p.body == nil || p.body.discardRest()
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.unread = c.unread || !read
+	c.bodyUnread = c.bodyUnread || !read
 	c.closing = c.closing || ends || !read
 	return c.closing && len(c.pending) == 1
 }
 
-// skipped are the fields that the handler's header does not write.
-func (a *answer) skipped() map[string]bool {
+// excludedFields returns the fields of the handler's header that are not written in the
+// head: those of the connection, and trailers.
+func (p *response) excludedFields() map[string]bool {
 	isTrailer := func(n string) bool { return strings.HasPrefix(n, http.TrailerPrefix) }
-	names := slices.DeleteFunc(slices.Collect(maps.Keys(a.fields)), func(n string) bool { return !isTrailer(n) })
+	names := slices.DeleteFunc(slices.Collect(maps.Keys(p.sentHeader)), func(n string) bool { return !isTrailer(n) })
 	if len(names) == 0 {
-		return skipped
+		return connectionFields
 	}
-	all := maps.Clone(skipped)
+	all := maps.Clone(connectionFields)
 	for _, n := range names {
 		all[n] = true
 	}
 	return all
 }
 
-// writeTrailer ends a body in chunks, with the fields that the handler set behind it.
-func (a *answer) writeTrailer() {
-	w := a.conn.writer
+// writeTrailer ends a chunked body, with the trailer fields that the handler set.
+func (p *response) writeTrailer() {
+	w := p.conn.writer
 	_, _ = w.WriteString("0\r\n")
 	t := http.Header{}
-	for n, v := range a.header {
+	for n, v := range p.header {
 		if name, ok := strings.CutPrefix(n, http.TrailerPrefix); ok {
 			t[name] = v
 		}
--- a/internal/connection/pipeliner/fuzz_test.go
+++ b/internal/connection/pipeliner/fuzz_test.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// endOfFuzz ends a connection whose requests are whole, so that nothing waits.
+	// endOfFuzz closes a connection whose requests are complete, so that nothing waits.
 	endOfFuzz = "\r\n\r\nGET /end HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
-	// fuzzPatience is when the caller of any other connection leaves.
-	fuzzPatience = 50 * time.Millisecond
+	// fuzzTimeout is when the caller leaves any other connection.
+	fuzzTimeout = 50 * time.Millisecond
 )
 
-// FuzzRequests sends any bytes to this server and to that of net/http. What handlers get
-// must be the same, but for what only this one refuses: from the first difference on it
-// may have gotten less, never something else.
+// FuzzRequests sends arbitrary bytes to this server and to that of net/http, and compares
+// the requests that handlers get. Since this server refuses more, its handlers may get only
+// the first of them, but never others.
 func FuzzRequests(f *testing.F) {
 	for _, text := range []string{
 		"GET /a HTTP/1.1\r\n" + host + "\r\nGET /b HTTP/1.1\r\n" + host + "\r\n",
@@ -34,17 +34,17 @@
 	ours, standard, gotOurs, gotStandard := servers(f)
 	f.Fuzz(func(t *testing.T, text string) {
 		if strings.HasPrefix(text, "PRI * HTTP/2.0") || strings.Contains(text, "OPTIONS *") {
-			t.Skip("net/http answers these by itself")
+			t.Skip("net/http handles these itself")
 		}
 		gotOurs.clear()
 		gotStandard.clear()
-		a, b := converseFor(t, fuzzPatience, ours, text+endOfFuzz), converseFor(t, fuzzPatience, standard, text+endOfFuzz)
+		a, b := converseFor(t, fuzzTimeout, ours, text+endOfFuzz), converseFor(t, fuzzTimeout, standard, text+endOfFuzz)
 		if a.left || b.left {
 			t.Skip("handlers may still be at work")
 		}
 		got, want := gotOurs.of(a.caller), gotStandard.of(b.caller)
 		if len(got) > len(want) || !slices.Equal(got, want[:len(got)]) {
-			t.Fatalf("of %q handlers get\n%q, of the standard server\n%q", text, got, want)
+			t.Fatalf("for %q handlers get\n%q, with net/http\n%q", text, got, want)
 		}
 	})
 }
--- a/internal/connection/pipeliner/head.go
+++ b/internal/connection/pipeliner/head.go
@@ -11,63 +11,63 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// mostEmptyLines is how many characters of empty lines are read past behind the body of a
-// POST: as many as the standard library's server does.
-const mostEmptyLines = 4
+// maxEmptyLineBytes is how many bytes of line ends are skipped after the body of a POST: as
+// many as in the server of the standard library.
+const maxEmptyLineBytes = 4
 
 var (
-	headEnds    = [][]byte{[]byte("\r\n\r\n"), []byte("\n\n"), []byte("\n\r\n")}
-	lengthField = []byte("\ncontent-length")
+	headTerminators = [][]byte{[]byte("\r\n\r\n"), []byte("\n\n"), []byte("\n\r\n")}
+	lengthField     = []byte("\ncontent-length")
 )
 
-// refusal is why a request is refused before a handler sees it.
+// refusal is the status and text with which a request is refused before a handler sees it.
 type refusal struct {
 	status int
 	text   string
 }
 
-// read reads the head of the next request. The refusal is set if there is none that
-// can be handled. It reports false when the connection ends.
-func (c *conn) read() (*http.Request, *refusal, bool) {
+// readRequest reads the head of the next request. The refusal is not nil if the request
+// cannot be handled. It reports false if the connection is to be closed.
+func (c *conn) readRequest() (*http.Request, *refusal, bool) {
 	if !c.awaitHead() {
 		return nil, nil, false
 	}
-	raw, f, ok := c.collect()
+	raw, f, ok := c.collectHead()
 	if !ok || f != nil {
 		return nil, f, ok
 	}
-	c.bounded = true
-	c.headRest = c.server.maxHeadBytes() - int64(c.reader.Buffered())
+	c.headBounded = true
+	c.headRemaining = c.server.maxHeadBytes() - int64(c.reader.Buffered())
 	r, err := http.ReadRequest(c.reader)
-	tooLong := c.headRest <= 0
-	c.bounded = false
+	tooLong := c.headRemaining <= 0
+	c.headBounded = false
 	switch {
 	case err == nil:
 		r.RemoteAddr = c.remote
 		c.emptyLines = 0
 		if r.Method == http.MethodPost {
-			c.emptyLines = mostEmptyLines
+			c.emptyLines = maxEmptyLineBytes
 		}
-		f := judge(r, raw)
-		c.count(f)
+		f := checkHead(r, raw)
+		c.countRefusal(f)
 		return r, f, true
 	case tooLong:
 		f := &refusal{http.StatusRequestHeaderFieldsTooLarge, "request header too large"}
-		c.count(f)
+		c.countRefusal(f)
 		return nil, f, true
 	case isTimeout(err):
-		return nil, c.slow(), !c.interrupted()
-	case isLost(err):
+		return nil, c.refuseSlowHead(), !c.interrupted()
+	case isConnError(err):
 		c.cancel()
 		return nil, nil, false
 	}
-	f = explain(err)
-	c.count(f)
+	f = refusalOf(err)
+	c.countRefusal(f)
 	return nil, f, true
 }
 
-// awaitHead waits for the first byte of a head. It reports false when the connection
-// ends: the caller left, it was idle for too long, or it is to be closed.
+// awaitHead waits for the first byte of a head. It reports false if the connection is to
+// be closed: the caller disconnected, the idle timeout is over, or it is closing.
 func (c *conn) awaitHead() bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -76,11 +76,11 @@
 		if c.closing || c.broken {
 			return false
 		}
-		if c.reader.Buffered() > 0 && !c.skipEmptyLine() {
+		if c.reader.Buffered() > 0 && !c.skipEmptyLines() {
 			c.phase = head
 			return true
 		}
-		if !c.limitIdle() {
+		if !c.setIdleTimeout() {
 			return false
 		}
 		c.lock.Unlock()
@@ -93,25 +93,26 @@
 	}
 }
 
-// limitIdle sets how long the connection may still be idle, and reports false if it
-// was for too long. The caller holds the lock.
-func (c *conn) limitIdle() bool {
+// setIdleTimeout sets the read deadline for the rest of the idle timeout, or none if
+// responses are pending. It reports false if the timeout is over. The caller holds the
+// lock.
+func (c *conn) setIdleTimeout() bool {
 	m := c.server.idleTimeout()
 	if len(c.pending) > 0 || m == 0 {
-		c.setLimit(0)
+		c.setReadTimeout(0)
 		return true
 	}
 	rest := c.idleSince + m - c.server.Clock.Now()
 	if rest <= 0 {
 		return false
 	}
-	c.setLimit(rest)
+	c.setReadTimeout(rest)
 	return true
 }
 
-// skipEmptyLine drops up to two line ends behind the body of a POST, which some callers
-// send there, and reports true if nothing else is left. The caller holds the lock.
-func (c *conn) skipEmptyLine() bool {
+// skipEmptyLines skips up to two line ends after the body of a POST, which some callers
+// send, and reports whether the read buffer is empty then. The caller holds the lock.
+func (c *conn) skipEmptyLines() bool {
 	for c.emptyLines > 0 && c.reader.Buffered() > 0 {
 		b, _ := c.reader.Peek(1)
 		if b[0] != '\r' && b[0] != '\n' {
@@ -123,10 +124,10 @@
 	return c.reader.Buffered() == 0
 }
 
-// collect waits until the whole head, or as much of it as there is room for, is in the
-// read buffer, and returns the whole head. The refusal is set if it does not come in
-// time. It reports false when the connection ends.
-func (c *conn) collect() ([]byte, *refusal, bool) {
+// collectHead waits until the read buffer contains the complete head or is full. It
+// returns the head, or nil if it does not fit. The refusal is not nil if the head does not
+// arrive in time. It reports false if the connection is to be closed.
+func (c *conn) collectHead() ([]byte, *refusal, bool) {
 	limited := false
 	for {
 		raw, _ := c.reader.Peek(c.reader.Buffered())
@@ -134,17 +135,17 @@
 			return raw[:n], nil, true
 		}
 		if len(raw) == c.reader.Size() {
-			c.limitHead()
+			c.setHeadTimeout()
 			return nil, nil, true
 		}
 		if !limited {
 			limited = true
-			c.limitHead()
+			c.setHeadTimeout()
 		}
 		switch err := c.fill(); {
 		case err == nil:
 		case isTimeout(err):
-			return nil, c.slow(), !c.interrupted()
+			return nil, c.refuseSlowHead(), !c.interrupted()
 		default:
 			c.cancel()
 			return nil, nil, false
@@ -152,12 +153,12 @@
 	}
 }
 
-// limitHead bounds the time that the head takes.
-func (c *conn) limitHead() {
+// setHeadTimeout sets the read deadline for the head.
+func (c *conn) setHeadTimeout() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if !c.closing && !c.broken {
-		c.setLimit(c.server.headTimeout())
+		c.setReadTimeout(c.server.headTimeout())
 	}
 }
 
@@ -167,10 +168,10 @@
 	return c.closing || c.broken
 }
 
-// headLength returns the length of a head, 0 if it is not whole.
+// headLength returns the length of the head at the start of raw, 0 if it is incomplete.
 func headLength(raw []byte) int {
 	n := 0
-	for _, e := range headEnds {
+	for _, e := range headTerminators {
 		if i := bytes.Index(raw, e); i >= 0 && (n == 0 || i+len(e) < n) {
 			n = i + len(e)
 		}
@@ -178,10 +179,11 @@
 	return n
 }
 
-// judge refuses what net/http leaves to its server to refuse, and a body with two
-// lengths, of which net/http drops one while others on the way may go by it. Raw is
-// the head as it came, nil if it was too long to be kept.
-func judge(r *http.Request, raw []byte) *refusal {
+// checkHead refuses what http.ReadRequest accepts and the server of net/http refuses. It
+// also refuses a request with both Content-Length and Transfer-Encoding: net/http ignores
+// the former, which other proxies on the path may use. raw is the head as received, nil if
+// it was too long for the read buffer. checkHead returns nil for a valid head.
+func checkHead(r *http.Request, raw []byte) *refusal {
 	switch {
 	case r.ProtoMajor != 1:
 		return &refusal{http.StatusHTTPVersionNotSupported, "unsupported protocol version"}
@@ -212,36 +214,37 @@
 	return &refusal{http.StatusBadRequest, text}
 }
 
-// explain returns the refusal of a head that net/http could not read.
-func explain(err error) *refusal {
+// refusalOf returns the refusal of a head that net/http failed to parse.
+func refusalOf(err error) *refusal {
 	if strings.Contains(err.Error(), "unsupported transfer encoding") {
 		return &refusal{http.StatusNotImplemented, "unsupported transfer encoding"}
 	}
 	return malformed(err.Error())
 }
 
-// expectsContinue tells whether the caller waits for a sign before it sends the body.
+// expectsContinue reports whether the caller waits for 100 Continue before it sends the
+// body.
 func expectsContinue(r *http.Request) bool {
 	return httpguts.HeaderValuesContainsToken(r.Header["Expect"], "100-continue")
 }
 
-// isLost tells whether an error is of the connection and not of what came over it.
-func isLost(err error) bool {
+// isConnError reports whether the connection failed, as opposed to what was read from it.
+func isConnError(err error) bool {
 	var lost *net.OpError
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &lost)
 }
 
-func (c *conn) count(f *refusal) {
+func (c *conn) countRefusal(f *refusal) {
 	if f != nil {
-		c.server.refused(KindMalformed)
+		c.server.reportRefusal(KindMalformed)
 	}
 }
 
-// slow refuses a head that did not come in time, such that the caller knows that its
-// request did not run.
-func (c *conn) slow() *refusal {
+// refuseSlowHead returns the refusal of a head that did not arrive in time, so that the
+// caller learns that its request did not run.
+func (c *conn) refuseSlowHead() *refusal {
 	if !c.interrupted() {
-		c.server.refused(KindSlowHead)
+		c.server.reportRefusal(KindSlowHead)
 	}
 	return &refusal{http.StatusRequestTimeout, "request header too slow"}
 }
--- a/internal/connection/pipeliner/server.go
+++ b/internal/connection/pipeliner/server.go
@@ -13,77 +13,78 @@
 )
 
 const (
-	// defaultMaxHeadBytes bounds the head of a request where the server sets no bound:
-	// that of the standard library's server.
+	// defaultMaxHeadBytes bounds the head of a request if MaxHeadBytes is not set: the
+	// bound of the standard library.
 	defaultMaxHeadBytes = http.DefaultMaxHeaderBytes
 
-	// maxAhead is how many requests of a connection are handled at once. Callers send
-	// up to eight ahead; twice that keeps them from waiting, and one caller from
-	// taking much more than its part.
-	maxAhead = 16
+	// maxPipelined is how many requests of a connection are handled concurrently. Callers
+	// pipeline up to eight. Twice that does not delay them, and still keeps one caller
+	// from taking much more than its share.
+	maxPipelined = 16
 
-	// maxAheadInAll is how many requests of all connections are handled beside an
-	// earlier one of their connection. Each takes 2.3 KB here (16 on each of 100
-	// connections whose handler waits) and the 6 KB of buffers of its sending: 17 MB, a
-	// tenth of the smallest VM's memory.
-	maxAheadInAll = 2048
+	// maxPipelinedTotal is how many requests of all connections are handled while an
+	// earlier one of their connection is. Each takes 2.3 KB here (with 16 on each of 100
+	// connections and waiting handlers) and 6 KB of buffers to be sent on: 17 MB in
+	// total, a tenth of the smallest VM's memory.
+	maxPipelinedTotal = 2048
 
-	// firstAcceptPause is the pause after a connection could not be accepted, for want
-	// of descriptors for instance; it doubles up to lastAcceptPause.
-	firstAcceptPause = 5 * time.Millisecond
-	lastAcceptPause  = time.Second
+	// minAcceptDelay is the delay after a failed accept, such as when the process is out
+	// of file descriptors. It doubles with each further failure, up to maxAcceptDelay.
+	minAcceptDelay = 5 * time.Millisecond
+	maxAcceptDelay = time.Second
 
-	// shutdownTick is how often a server that stops looks for idle connections.
-	shutdownTick = 20 * time.Millisecond
+	// shutdownPollInterval is how often Shutdown closes connections that became idle.
+	shutdownPollInterval = 20 * time.Millisecond
 )
 
-// The kinds of refusal before a handler sees a request.
+// The kinds of refusal.
 const (
-	// KindSlowHead is a head that did not come in time.
+	// KindSlowHead is a head that did not arrive in time.
 	KindSlowHead Kind = "slow head"
-	// KindMalformed is a head that is none.
+	// KindMalformed is a head that is malformed, too large or not supported.
 	KindMalformed Kind = "malformed head"
 )
 
-// ErrServerClosed is what Serve returns after Shutdown.
+// ErrServerClosed is returned by Serve after Shutdown or Close.
 var ErrServerClosed = http.ErrServerClosed
 
 type (
-	// Kind names why a connection was refused before a handler saw a request.
+	// Kind is the kind of refusal of a request that no handler saw.
 	Kind string
 
-	// Server serves connections of callers. Handler must be set before use; all else
-	// may be left out.
+	// Server serves connections of callers. Handler must be set before use. All other
+	// fields are optional.
 	Server struct {
 		Handler http.Handler
-		// MayOverlap tells of a request without a body whether it may be handled
-		// beside others of its connection. Nil allows none.
+		// MayOverlap reports whether a request without a body may be handled concurrently
+		// with others of its connection. Nil allows none.
 		MayOverlap func(*http.Request) bool
-		// Leaving tells that connections are to end: each one is closed with the next
-		// answer behind which no request was begun. Nil means never.
+		// Leaving reports whether connections are to be closed, each with the next
+		// response after which no request was started. Nil means never.
 		Leaving func() bool
-		// HeadTimeout is how long a head may take from its first byte, and IdleTimeout
-		// how long a connection may wait for one. They are asked anew each time; nil
-		// or 0 is no limit.
+		// HeadTimeout returns how long a head may take from its first byte, and
+		// IdleTimeout how long a connection may wait for one. They are called again each
+		// time. Nil or a result of 0 means no limit.
 		HeadTimeout func() timekeeper.Millis
 		IdleTimeout func() timekeeper.Millis
-		// MaxHeadBytes bounds the head of a request.
+		// MaxHeadBytes bounds the head of a request, in bytes. 0 means
+		// defaultMaxHeadBytes. Values below readBuffer are raised to it.
 		MaxHeadBytes int64
-		// Refused is told of heads that no handler saw. Nil means nobody wants to
-		// know.
+		// Refused, if not nil, is called for each head that no handler saw.
 		Refused func(Kind)
-		// Failed is told of a handler that panicked, which ends its connection. Nil
-		// lets the panic end the process.
+		// Failed is called when a handler panicked, which closes its connection. If it is
+		// nil, the panic terminates the process.
 		Failed func(reason any)
 		Clock  timekeeper.Clock
 
 		lock        sync.Mutex
 		listeners   map[net.Listener]bool
 		connections map[*conn]bool
-		down        atomic.Bool
-		// ahead counts requests that were begun beside earlier ones.
-		ahead atomic.Int64
-		// held counts the bytes of answers that wait for their turn.
+		stopping    atomic.Bool
+		// pipelined counts requests that were started while earlier ones of their
+		// connection were being handled.
+		pipelined atomic.Int64
+		// held counts the buffered bytes of responses that wait for earlier ones.
 		held atomic.Int64
 	}
 )
@@ -94,34 +95,34 @@
 		_ = l.Close()
 		return ErrServerClosed
 	}
-	pause := firstAcceptPause
+	pause := minAcceptDelay
 	for {
 		c, err := l.Accept()
 		switch {
 		case err == nil:
-			pause = firstAcceptPause
-			s.begin(c)
-		case s.down.Load():
+			pause = minAcceptDelay
+			s.startConn(c)
+		case s.stopping.Load():
 			return ErrServerClosed
 		case errors.Is(err, net.ErrClosed):
 			return err
 		default:
 			time.Sleep(pause)
-			pause = min(2*pause, lastAcceptPause)
+			pause = min(2*pause, maxAcceptDelay)
 		}
 	}
 }
 
 // Shutdown closes the listeners and the idle connections, and waits for the others
-// until ctx ends.
+// until ctx ends. It returns the error of ctx if some are left.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.down.Store(true)
+	s.stopping.Store(true)
 	s.lock.Lock()
 	for l := range s.listeners {
 		_ = l.Close()
 	}
 	s.lock.Unlock()
-	tick := time.NewTicker(shutdownTick)
+	tick := time.NewTicker(shutdownPollInterval)
 	defer tick.Stop()
 	for s.closeIdle() > 0 {
 		select {
@@ -135,7 +136,7 @@
 
 // Close closes the listeners and all connections at once.
 func (s *Server) Close() {
-	s.down.Store(true)
+	s.stopping.Store(true)
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for l := range s.listeners {
@@ -149,7 +150,7 @@
 func (s *Server) track(l net.Listener) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.down.Load() {
+	if s.stopping.Load() {
 		return false
 	}
 	if s.listeners == nil {
@@ -160,7 +161,7 @@
 	return true
 }
 
-func (s *Server) begin(n net.Conn) {
+func (s *Server) startConn(n net.Conn) {
 	c := newConn(s, n)
 	s.lock.Lock()
 	s.connections[c] = true
@@ -168,14 +169,14 @@
 	go c.run()
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) untrack(c *conn) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	delete(s.connections, c)
 }
 
-// closeIdle closes the connections on which nothing is under way, and returns how many
-// connections there are.
+// closeIdle closes the idle connections, and returns how many connections are not yet
+// closed.
 func (s *Server) closeIdle() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -185,30 +186,30 @@
 	return len(s.connections)
 }
 
-// leaving tells that connections are to end.
-func (s *Server) leaving() bool {
-	return s.down.Load() || s.Leaving != nil && s.Leaving()
+// isDraining reports whether connections are to be closed.
+func (s *Server) isDraining() bool {
+	return s.stopping.Load() || s.Leaving != nil && s.Leaving()
 }
 
-func (s *Server) overlaps(r *http.Request) bool {
+func (s *Server) mayOverlap(r *http.Request) bool {
 	return s.MayOverlap != nil && r.ProtoAtLeast(1, 1) && !r.Close && s.MayOverlap(r)
 }
 
-func (s *Server) refused(k Kind) {
+func (s *Server) reportRefusal(k Kind) {
 	if s.Refused != nil {
 		s.Refused(k)
 	}
 }
 
 func (s *Server) headTimeout() timekeeper.Millis {
-	return limit(s.HeadTimeout)
+	return timeoutOf(s.HeadTimeout)
 }
 
 func (s *Server) idleTimeout() timekeeper.Millis {
-	return limit(s.IdleTimeout)
+	return timeoutOf(s.IdleTimeout)
 }
 
-func limit(f func() timekeeper.Millis) timekeeper.Millis {
+func timeoutOf(f func() timekeeper.Millis) timekeeper.Millis {
 	if f == nil {
 		return 0
 	}
--- a/internal/connection/pipeliner/server_test.go
+++ b/internal/connection/pipeliner/server_test.go
@@ -20,26 +20,28 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// patience bounds what a test waits for. Nothing that passes comes near it.
-const patience = 10 * time.Second
+// waitTimeout bounds every wait of a test. Passing tests stay far below it.
+const waitTimeout = 10 * time.Second
 
-// site is a server whose handlers tell when they begin and wait to be let go.
-type site struct {
+// testServer is a server whose handlers report when they start and wait until they are
+// released.
+type testServer struct {
 	server  *pipeliner.Server
 	address string
 	leaving atomic.Bool
 
 	lock  sync.Mutex
 	gates map[string]chan struct{}
-	begun chan string
+	started chan string
 	ended chan string
 }
 
-// startSite serves requests: each says on begun that it was begun, and answers with its
-// path when it is let go, or breaks off if its path says so. GET may overlap.
-func startSite(t *testing.T) *site {
+// startTestServer starts a server. Each handler sends its path on started, waits until the
+// path is released, and responds with the path. A path with "broken" aborts its response.
+// GET requests may overlap.
+func startTestServer(t *testing.T) *testServer {
 	t.Helper()
-	s := &site{gates: map[string]chan struct{}{}, begun: make(chan string, 100), ended: make(chan string, 100)}
+	s := &testServer{gates: map[string]chan struct{}{}, started: make(chan string, 100), ended: make(chan string, 100)}
 	s.server = &pipeliner.Server{
 		Handler:    s,
 		MayOverlap: func(r *http.Request) bool { return r.Method == http.MethodGet },
@@ -61,12 +63,12 @@
 	return l.Addr().String()
 }
 
-func (s *site) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer func() { s.ended <- r.URL.Path }()
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
-	s.begun <- r.URL.Path
+	s.started <- r.URL.Path
 	select {
 	case <-s.gate(r.URL.Path):
 	case <-r.Context().Done():
@@ -81,7 +83,7 @@
 	_, _ = io.WriteString(w, body)
 }
 
-func (s *site) gate(path string) chan struct{} {
+func (s *testServer) gate(path string) chan struct{} {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.gates[path] == nil {
@@ -90,13 +92,13 @@
 	return s.gates[path]
 }
 
-func (s *site) release(paths ...string) {
+func (s *testServer) release(paths ...string) {
 	for _, p := range paths {
 		close(s.gate(p))
 	}
 }
 
-// await returns the next n names of a channel, in any order.
+// await receives n names from a channel and returns them as a set.
 func await(t *testing.T, names chan string, n int) map[string]bool {
 	t.Helper()
 	got := map[string]bool{}
@@ -104,14 +106,14 @@
 		select {
 		case name := <-names:
 			got[name] = true
-		case <-time.After(patience):
-			t.Fatalf("only %v of %d came", got, n)
+		case <-time.After(waitTimeout):
+			t.Fatalf("received only %v of %d", got, n)
 		}
 	}
 	return got
 }
 
-// caller is one connection to a site.
+// caller is a client connection to a server.
 type caller struct {
 	net.Conn
 	t      *testing.T
@@ -125,7 +127,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return &caller{c, t, bufio.NewReader(c)}
@@ -138,7 +140,7 @@
 	}
 }
 
-// get sends GETs of paths in one piece.
+// get sends a GET for each path in a single write.
 func (c *caller) get(paths ...string) {
 	c.t.Helper()
 	var b strings.Builder
@@ -148,7 +150,7 @@
 	c.send(b.String())
 }
 
-// read returns the body of the next answer, and whether it closes the connection.
+// read returns the body of the next response, and whether it closes the connection.
 func (c *caller) read() (body string, closes bool, err error) {
 	p, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -159,9 +161,9 @@
 	return string(b), p.Close, err
 }
 
-// wants reads answers with these bodies. Only the last may close the connection, and
-// does so if closes says so.
-func (c *caller) wants(closes bool, bodies ...string) {
+// expect reads one response per body and compares them. The last must close the
+// connection if closes is set. No other may.
+func (c *caller) expect(closes bool, bodies ...string) {
 	c.t.Helper()
 	for i, want := range bodies {
 		got, closed, err := c.read()
@@ -171,96 +173,95 @@
 	}
 }
 
-func (c *caller) wantsEnd() {
+func (c *caller) expectClose() {
 	c.t.Helper()
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		c.t.Fatalf("connection goes on, error %v", err)
+		c.t.Fatalf("connection is still open, error %v", err)
 	}
 }
 
 func TestAnswersKeepTheOrderOfRequests(t *testing.T) {
 	is := is.New(t)
-	s := startSite(t)
+	s := startTestServer(t)
 	c := dial(t, s.address)
 	c.get("/a", "/b", "/c", "/d")
-	is.Equal(len(await(t, s.begun, 4)), 4) // all at once
+	is.Equal(len(await(t, s.started, 4)), 4) // all at once
 	s.release("/d", "/c", "/b")
 	await(t, s.ended, 3)
 	s.release("/a")
-	c.wants(false, "/a", "/b", "/c", "/d")
+	c.expect(false, "/a", "/b", "/c", "/d")
 	s.release("/e")
 	c.get("/e") // the connection is used on
-	c.wants(false, "/e")
+	c.expect(false, "/e")
 }
 
-// TestOnceIsHandledAlone sends a request that may run once between such as may be
-// repeated: it begins when all before it are answered, and nothing begins behind it
-// until it is.
+// TestOnceIsHandledAlone pipelines a request that must not overlap between others that
+// may: it starts after all earlier responses are written, and no later request starts
+// before its response is.
 func TestOnceIsHandledAlone(t *testing.T) {
 	is := is.New(t)
-	s := startSite(t)
+	s := startTestServer(t)
 	c := dial(t, s.address)
 	c.get("/a", "/b")
 	c.send("POST /once HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody")
 	c.get("/c")
-	is.Equal(await(t, s.begun, 2), map[string]bool{"/a": true, "/b": true})
+	is.Equal(await(t, s.started, 2), map[string]bool{"/a": true, "/b": true})
 	s.release("/b")
 	await(t, s.ended, 1)
-	is.Equal(len(s.begun), 0) // "/a" is not answered yet
+	is.Equal(len(s.started), 0) // "/a" has no response yet
 	s.release("/a")
-	c.wants(false, "/a", "/b")
-	is.Equal(await(t, s.begun, 1), map[string]bool{"/once": true})
-	is.Equal(len(s.begun), 0)
+	c.expect(false, "/a", "/b")
+	is.Equal(await(t, s.started, 1), map[string]bool{"/once": true})
+	is.Equal(len(s.started), 0)
 	s.release("/once")
-	c.wants(false, "/once")
-	is.Equal(await(t, s.begun, 1), map[string]bool{"/c": true})
+	c.expect(false, "/once")
+	is.Equal(await(t, s.started, 1), map[string]bool{"/c": true})
 	s.release("/c")
-	c.wants(false, "/c")
+	c.expect(false, "/c")
 }
 
-// TestStopCutsNothing lets a server leave while requests are under way: those that were
-// begun are answered, the last of them closes the connection, and nothing behind them
-// is begun.
+// TestStopCutsNothing drains a server with pending requests: all started requests get
+// their response, the last one closes the connection, and no later request starts.
 func TestStopCutsNothing(t *testing.T) {
 	is := is.New(t)
-	s := startSite(t)
+	s := startTestServer(t)
 	c := dial(t, s.address)
 	c.get("/a", "/b", "/c")
-	await(t, s.begun, 3)
+	await(t, s.started, 3)
 	c.send("POST /once HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody")
 	s.leaving.Store(true)
 	s.release("/a")
-	c.wants(false, "/a")
+	c.expect(false, "/a")
 	c.get("/late")
 	s.release("/c", "/b")
-	c.wants(true, "/b", "/c")
-	c.wantsEnd()
-	is.Equal(len(s.begun), 0)
+	c.expect(true, "/b", "/c")
+	c.expectClose()
+	is.Equal(len(s.started), 0)
 }
 
-// TestShutdownWaits closes an idle connection at once and one with requests when they
-// are answered.
+// TestShutdownWaits checks that Shutdown closes an idle connection at once, and one with
+// requests after their responses.
 func TestShutdownWaits(t *testing.T) {
 	is := is.New(t)
-	s := startSite(t)
+	s := startTestServer(t)
 	idle, busy := dial(t, s.address), dial(t, s.address)
 	s.release("/used")
 	idle.get("/used")
-	idle.wants(false, "/used")
+	idle.expect(false, "/used")
 	busy.get("/a", "/b")
-	await(t, s.begun, 3)
+	await(t, s.started, 3)
 	down := make(chan error)
 	go func() { down <- s.server.Shutdown(context.Background()) }()
-	idle.wantsEnd()
+	idle.expectClose()
 	s.release("/a", "/b")
-	busy.wants(true, "/a", "/b")
+	busy.expect(true, "/a", "/b")
 	is.NoErr(<-down)
 	_, err := net.Dial("tcp", s.address)
 	is.True(err != nil)
 }
 
-// TestLeavingCallerEndsItsWork has a caller leave whose requests are under way, wait for
-// their turn, and fill the read buffer.
+// TestLeavingCallerEndsItsWork checks that a disconnect cancels the handlers of a caller,
+// also if another request or a part of one follows theirs.
 func TestLeavingCallerEndsItsWork(t *testing.T) {
 	for name, behind := range map[string]string{
 		"nothing behind": "",
@@ -269,69 +270,70 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := startSite(t)
+			s := startTestServer(t)
 			c := dial(t, s.address)
 			c.get("/a", "/b", "/c")
-			await(t, s.begun, 3)
+			await(t, s.started, 3)
 			c.send(behind)
 			is.NoErr(c.Close())
 			await(t, s.ended, 3)
-			is.Equal(len(s.begun), 0)
+			is.Equal(len(s.started), 0)
 		})
 	}
 }
 
-// TestRequestsAheadAreBounded sends more than are handled at once.
+// TestRequestsAheadAreBounded pipelines more requests than are handled concurrently.
 func TestRequestsAheadAreBounded(t *testing.T) {
 	is := is.New(t)
-	s := startSite(t)
+	s := startTestServer(t)
 	c := dial(t, s.address)
 	var paths []string
 	for i := range 40 {
 		paths = append(paths, fmt.Sprintf("/%d", i))
 	}
 	c.get(paths...)
-	is.Equal(len(await(t, s.begun, 16)), 16)
-	is.Equal(len(s.begun), 0)
+	is.Equal(len(await(t, s.started, 16)), 16)
+	is.Equal(len(s.started), 0)
 	s.release(paths[0])
-	c.wants(false, paths[0])
-	is.True(await(t, s.begun, 1)[paths[16]])
+	c.expect(false, paths[0])
+	is.True(await(t, s.started, 1)[paths[16]])
 	s.release(paths[1:]...)
-	c.wants(false, paths[1:]...)
+	c.expect(false, paths[1:]...)
 }
 
-// TestSlowReaderHoldsUpItselfOnly has a caller read nothing of long answers.
+// TestSlowReaderHoldsUpItselfOnly checks that a caller that does not read its long
+// responses does not delay another.
 func TestSlowReaderHoldsUpItselfOnly(t *testing.T) {
-	s := startSite(t)
+	s := startTestServer(t)
 	slow, other := dial(t, s.address), dial(t, s.address)
 	more := "?more=" + strings.Repeat("x", 2000)
 	long := "/" + strings.Repeat("l", 1500)
 	s.release(long, "/b", "/c")
 	slow.get(long+more, "/b", long+more) // 6 MB
 	other.get("/b", "/c")
-	other.wants(false, "/b", "/c")
-	slow.wants(false, strings.Repeat(long, 2001), "/b", strings.Repeat(long, 2001))
+	other.expect(false, "/b", "/c")
+	slow.expect(false, strings.Repeat(long, 2001), "/b", strings.Repeat(long, 2001))
 }
 
-// TestBrokenAnswerEndsItsConnection has the second of three answers break off: the
-// first arrives whole, and nothing that looks whole follows.
+// TestBrokenAnswerEndsItsConnection aborts the second of three responses. The first must
+// arrive complete, and no later one may look complete.
 func TestBrokenAnswerEndsItsConnection(t *testing.T) {
 	is := is.New(t)
-	s := startSite(t)
+	s := startTestServer(t)
 	c := dial(t, s.address)
 	c.get("/a", "/broken", "/c")
-	await(t, s.begun, 3)
+	await(t, s.started, 3)
 	s.release("/c", "/broken")
 	await(t, s.ended, 2)
 	s.release("/a")
-	c.wants(false, "/a")
+	c.expect(false, "/a")
 	_, _, err := c.read()
 	is.True(err != nil)
 	rest, _ := io.ReadAll(c.reader)
 	is.Equal(string(rest), "")
 }
 
-// TestLimitsFollowTheirSettings has the idle limit grow while a connection is idle.
+// TestLimitsFollowTheirSettings raises the idle timeout while a connection is idle.
 func TestLimitsFollowTheirSettings(t *testing.T) {
 	is := is.New(t)
 	var idle, asked atomic.Int64
@@ -348,16 +350,17 @@
 	t.Cleanup(s.Close)
 	c := dial(t, address)
 	c.get("/")
-	c.wants(false, "x")
+	c.expect(false, "x")
 	began := clock.Now()
 	idle.Store(600)
-	c.wantsEnd()
+	c.expectClose()
 	is.True(clock.Now()-began >= 550)
 	is.True(asked.Load() >= 3)
 }
 
-// TestSlowHeadIsRefused has a head stop midway. The standard server says 400, after which
-// nobody asks again; the request did not run, and the caller may.
+// TestSlowHeadIsRefused sends an incomplete head. The server of net/http responds with
+// 400, after which callers do not retry. Here the response says that the request did not
+// run, so that they may.
 func TestSlowHeadIsRefused(t *testing.T) {
 	is := is.New(t)
 	refused := make(chan pipeliner.Kind, 1)
@@ -376,20 +379,20 @@
 	is.Equal(p.StatusCode, http.StatusRequestTimeout)
 	is.Equal(p.Header.Get("Gullvale-Outcome"), "not-run")
 	_, _ = io.Copy(io.Discard, p.Body)
-	c.wantsEnd()
+	c.expectClose()
 }
 
-// TestWaitingCounts has a request wait for another: the time counts from its arrival.
+// TestWaitingCounts checks that the waiting time of a request counts from its arrival.
 func TestWaitingCounts(t *testing.T) {
 	is := is.New(t)
 	var now atomic.Int64
 	now.Store(1000)
 	waited := make(chan timekeeper.Millis, 2)
-	begun, gate := make(chan struct{}), make(chan struct{})
+	started, gate := make(chan struct{}), make(chan struct{})
 	s := &pipeliner.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			waited <- pipeliner.Waited(w)
-			begun <- struct{}{}
+			started <- struct{}{}
 			<-gate
 		}),
 		Clock: timekeeper.Clock{Monotonic: func() timekeeper.Millis { return timekeeper.Millis(now.Load()) }},
@@ -398,10 +401,10 @@
 	t.Cleanup(s.Close)
 	c := dial(t, address)
 	c.get("/a", "/b")
-	<-begun
+	<-started
 	now.Store(1300)
 	gate <- struct{}{}
-	<-begun
+	<-started
 	gate <- struct{}{}
 	is.Equal(<-waited, timekeeper.Millis(0))
 	is.Equal(<-waited, timekeeper.Millis(300))
--- a/internal/connection/pipeliner/standard_test.go
+++ b/internal/connection/pipeliner/standard_test.go
@@ -24,25 +24,26 @@
 const (
 	maxHead = 8 << 10
 
-	// idleLimit is how long connections of these tests may be idle. No verdict rests on
-	// it: it only ends connections that are kept.
+	// idleLimit is the idle timeout of connections in these tests. It only ends
+	// connections that are kept open, and does not affect the results.
 	idleLimit = 200 * timekeeper.Millis(1)
 )
 
-// echo answers with what it got, and notes it by the caller's address.
-type echo struct {
+// recorder responds with the method and body of a request, and records requests by the
+// address of their caller.
+type recorder struct {
 	lock sync.Mutex
 	got  map[string][]string
 }
 
-// of returns what the caller of a connection sent.
-func (e *echo) of(caller string) []string {
+// of returns the recorded requests of a caller.
+func (e *recorder) of(caller string) []string {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	return slices.Clone(e.got[caller])
 }
 
-func (e *echo) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *recorder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(r.Body)
 	e.lock.Lock()
 	e.got[r.RemoteAddr] = append(e.got[r.RemoteAddr], fmt.Sprintf("%s %s %s %q %v", r.Method, r.RequestURI, r.Host, b, err == nil))
@@ -69,23 +70,23 @@
 	}
 }
 
-// clear forgets all callers: the ports of those that left are used again.
-func (e *echo) clear() {
+// clear removes all records, since the ports of closed connections are reused.
+func (e *recorder) clear() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	clear(e.got)
 }
 
-// conversation is what came over one connection.
+// conversation is what was received over one connection.
 type conversation struct {
-	caller  string
-	answers []answered
-	// left tells that the caller left before the server ended the connection.
+	caller    string
+	responses []responseView
+	// left reports whether the caller left before the server closed the connection.
 	left bool
 }
 
-// answered is what a caller sees of one answer.
-type answered struct {
+// responseView is what a caller sees of one response.
+type responseView struct {
 	status  int
 	body    string
 	whole   bool
@@ -93,14 +94,14 @@
 	trailer string
 }
 
-// converse sends a text and reads all answers until the server ends the connection, at
-// the latest when it was idle for idleLimit. Methods are those of the requests.
+// converse sends a text and reads all responses until the server closes the connection,
+// at the latest after it was idle for idleLimit. methods are those of the requests.
 func converse(t testing.TB, address, text string, methods ...string) conversation {
 	t.Helper()
-	return converseFor(t, patience, address, text, methods...)
+	return converseFor(t, waitTimeout, address, text, methods...)
 }
 
-// converseFor is converse that leaves after a while.
+// converseFor is like converse, but leaves after d.
 func converseFor(t testing.TB, d time.Duration, address, text string, methods ...string) (v conversation) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -125,14 +126,14 @@
 			return v
 		}
 		b, err := io.ReadAll(p.Body)
-		v.answers = append(v.answers, answered{p.StatusCode, string(b), err == nil, p.Close, p.Trailer.Get("Sum")})
+		v.responses = append(v.responses, responseView{p.StatusCode, string(b), err == nil, p.Close, p.Trailer.Get("Sum")})
 	}
 }
 
-// servers starts both servers over handlers of their own.
-func servers(t testing.TB) (ours, standard string, gotOurs, gotStandard *echo) {
+// servers starts this server and that of net/http, each with its own recorder.
+func servers(t testing.TB) (ours, standard string, gotOurs, gotStandard *recorder) {
 	t.Helper()
-	gotOurs, gotStandard = &echo{got: map[string][]string{}}, &echo{got: map[string][]string{}}
+	gotOurs, gotStandard = &recorder{got: map[string][]string{}}, &recorder{got: map[string][]string{}}
 	limit := func() timekeeper.Millis { return idleLimit }
 	s := &pipeliner.Server{Handler: gotOurs, MaxHeadBytes: maxHead, IdleTimeout: limit, HeadTimeout: limit}
 	ours = listen(t, s.Serve)
@@ -148,8 +149,8 @@
 
 const host = "Host: x\r\n"
 
-// TestLikeTheStandardServer sends the same bytes to this server and to that of
-// net/http, and compares what handlers get and callers see.
+// TestLikeTheStandardServer sends the same bytes to this server and to that of net/http,
+// and compares the requests that handlers get and the responses that callers get.
 func TestLikeTheStandardServer(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -200,16 +201,16 @@
 			is := is.New(t)
 			ours, standard, gotOurs, gotStandard := servers(t)
 			a, b := converse(t, ours, c.text, c.methods...), converse(t, standard, c.text, c.methods...)
-			compare(t, a.answers, b.answers)
+			compare(t, a.responses, b.responses)
 			is.Equal(gotOurs.of(a.caller), gotStandard.of(b.caller))
 		})
 	}
 }
 
-// compare wants the same answers. The text of a refusal may differ.
-func compare(t *testing.T, ours, standard []answered) {
+// compare requires equal responses, except for the text of refusals.
+func compare(t *testing.T, ours, standard []responseView) {
 	t.Helper()
-	for _, l := range [][]answered{ours, standard} {
+	for _, l := range [][]responseView{ours, standard} {
 		for i := range l {
 			if l[i].status >= 400 {
 				l[i].body = ""
@@ -217,16 +218,17 @@
 		}
 	}
 	if !slices.Equal(ours, standard) {
-		t.Fatalf("callers see\n%+v, of the standard server\n%+v", ours, standard)
+		t.Fatalf("responses\n%+v, of net/http\n%+v", ours, standard)
 	}
 }
 
-// TestTwoLengthsAreRefused differs from the standard server, which drops the length.
+// TestTwoLengthsAreRefused checks a difference from the server of net/http, which ignores
+// Content-Length if there is Transfer-Encoding too.
 func TestTwoLengthsAreRefused(t *testing.T) {
 	is := is.New(t)
 	ours, _, got, _ := servers(t)
 	for _, name := range []string{"Content-Length", "content-length", "CONTENT-LENGTH"} {
-		a := converse(t, ours, "POST /x HTTP/1.1\r\n"+host+name+": 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n").answers
+		a := converse(t, ours, "POST /x HTTP/1.1\r\n"+host+name+": 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n").responses
 		is.Equal(len(a), 1)
 		is.Equal(a[0].status, http.StatusBadRequest)
 		is.True(a[0].closes)
@@ -234,8 +236,8 @@
 	is.Equal(len(got.got), 0)
 }
 
-// TestEachHeadIsJudgedByItself sends requests over one connection, each by itself and all in
-// one piece: a length in the head of one says nothing of the next.
+// TestEachHeadIsJudgedByItself sends requests over one connection, one by one and in a
+// single write. The Content-Length of one must not count for the next.
 func TestEachHeadIsJudgedByItself(t *testing.T) {
 	const (
 		chunked = "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
@@ -260,17 +262,17 @@
 			_, _ = io.Copy(io.Discard, p.Body)
 			is.Equal(p.StatusCode, want)
 		}
-		c.wantsEnd()
+		c.expectClose()
 	})
 	t.Run("in one piece", func(t *testing.T) {
 		is := is.New(t)
 		ours, _, got, _ := servers(t)
 		v := converse(t, ours, strings.Join(requests, ""))
 		var seen []int
-		for _, a := range v.answers {
+		for _, a := range v.responses {
 			seen = append(seen, a.status)
 		}
 		is.Equal(seen, statuses)
-		is.Equal(len(got.of(v.caller)), 3) // nothing behind the refused one
+		is.Equal(len(got.of(v.caller)), 3) // nothing after the refused one
 	})
 }
