--- a/internal/connection/pipeliner/body.go
+++ b/internal/connection/pipeliner/body.go
@@ -30,9 +30,9 @@
 	source io.ReadCloser
 	// ended is closed when the body is no longer read: at its end or when its handler
 	// is done.
-	ended    chan struct{}
-	once     sync.Once
-	complete atomic.Bool
+	ended     chan struct{}
+	once      sync.Once
+	fullyRead atomic.Bool
 	// closed reports whether the handler returned.
 	closed atomic.Bool
 
@@ -64,7 +64,7 @@
 	n, err := b.source.Read(p)
 	switch {
 	case err == io.EOF:
-		b.complete.Store(true)
+		b.fullyRead.Store(true)
 		b.end()
 	case err != nil:
 		b.conn.cancel()
@@ -94,13 +94,13 @@
 // whether the connection can be used for another request.
 func (b *requestBody) discardRest() bool {
 	b.lock.Lock()
-	expected := b.awaitingContinue
+	awaitingContinue := b.awaitingContinue
 	b.awaitingContinue = false
 	b.lock.Unlock()
 	switch {
-	case b.complete.Load():
+	case b.fullyRead.Load():
 		return true
-	case expected:
+	case awaitingContinue:
 		// It is not known whether the caller sends the body now.
 		return false
 	}
--- a/internal/connection/pipeliner/framing.go
+++ b/internal/connection/pipeliner/framing.go
@@ -10,8 +10,8 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// connectionFields are the header fields that the connection writes itself.
-var connectionFields = map[string]bool{"Connection": true, "Transfer-Encoding": true, "Content-Length": true}
+// excludedFields are the header fields that the connection writes itself.
+var excludedFields = map[string]bool{"Connection": true, "Transfer-Encoding": true, "Content-Length": true}
 
 // writeHead writes the head of the response, which must be the first of pending.
 func (p *response) writeHead() {
@@ -77,9 +77,9 @@
 	isTrailer := func(n string) bool { return strings.HasPrefix(n, http.TrailerPrefix) }
 	names := slices.DeleteFunc(slices.Collect(maps.Keys(p.sentHeader)), func(n string) bool { return !isTrailer(n) })
 	if len(names) == 0 {
-		return connectionFields
+		return excludedFields
 	}
-	all := maps.Clone(connectionFields)
+	all := maps.Clone(excludedFields)
 	for _, n := range names {
 		all[n] = true
 	}
--- a/internal/connection/pipeliner/response.go
+++ b/internal/connection/pipeliner/response.go
@@ -15,13 +15,13 @@
 	// determine the length: as much as in the server of the standard library.
 	maxUnframedBytes = 2 << 10
 
-	// maxHeldBytes bounds the buffer of a response that waits for earlier ones. A
+	// maxBufferedBytes bounds the buffer of a response that waits for earlier ones. A
 	// response up to this size frees its upstream at once, also if an earlier one is slow.
-	maxHeldBytes = 128 << 10
+	maxBufferedBytes = 128 << 10
 
-	// maxHeldBytesTotal bounds these buffers of all responses: an eighth of the 184 MB of
+	// maxBufferedBytesTotal bounds these buffers of all responses: an eighth of the 184 MB of
 	// memory of the smallest VM.
-	maxHeldBytesTotal = 24 << 20
+	maxBufferedBytesTotal = 24 << 20
 
 	// outcomeField is the header field that marks a refused request as not run.
 	outcomeField = "Gullvale-Outcome"
@@ -58,7 +58,7 @@
 	// buffered is the part of the body that waits for earlier responses, or for the
 	// length to be known.
 	buffered []byte
-	// reserved is how many bytes of buffered count towards maxHeldBytesTotal.
+	// reserved is how many bytes of buffered count towards maxBufferedBytesTotal.
 	reserved int64
 	aborted  bool
 	// done reports whether the handler returned. The lock of the connection guards it.
@@ -201,17 +201,17 @@
 		if p.headWritten || p.length >= 0 || n > maxUnframedBytes {
 			return false
 		}
-	} else if n > maxHeldBytes || !p.reserve(int64(len(b))) {
+	} else if n > maxBufferedBytes || !p.reserve(int64(len(b))) {
 		return false
 	}
 	p.buffered = append(p.buffered, b...)
 	return true
 }
 
-// reserve counts n bytes towards maxHeldBytesTotal, and reports whether they fit.
+// reserve counts n bytes towards maxBufferedBytesTotal, and reports whether they fit.
 func (p *response) reserve(n int64) bool {
-	total := &p.conn.server.held
-	if total.Add(n) > maxHeldBytesTotal {
+	total := &p.conn.server.buffered
+	if total.Add(n) > maxBufferedBytesTotal {
 		total.Add(-n)
 		return false
 	}
@@ -269,7 +269,7 @@
 }
 
 func (p *response) releaseBuffered() {
-	p.conn.server.held.Add(-p.reserved)
+	p.conn.server.buffered.Add(-p.reserved)
 	p.buffered, p.reserved = nil, 0
 }
 
@@ -289,7 +289,7 @@
 	}
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if p.body != nil && !p.body.complete.Load() {
+	if p.body != nil && !p.body.fullyRead.Load() {
 		c.bodyUnread, c.closing = true, true
 	}
 	p.done = true
--- a/internal/connection/pipeliner/server.go
+++ b/internal/connection/pipeliner/server.go
@@ -84,8 +84,8 @@
 		// pipelined counts requests that were started while earlier ones of their
 		// connection were being handled.
 		pipelined atomic.Int64
-		// held counts the buffered bytes of responses that wait for earlier ones.
-		held atomic.Int64
+		// buffered counts the buffered bytes of responses that wait for earlier ones.
+		buffered atomic.Int64
 	}
 )
 
--- a/internal/connection/pipeliner/server_test.go
+++ b/internal/connection/pipeliner/server_test.go
@@ -30,10 +30,10 @@
 	address string
 	leaving atomic.Bool
 
-	lock  sync.Mutex
-	gates map[string]chan struct{}
+	lock    sync.Mutex
+	gates   map[string]chan struct{}
 	started chan string
-	ended chan string
+	ended   chan string
 }
 
 // startTestServer starts a server. Each handler sends its path on started, waits until the
