--- a/internal/connection/pooler/benchmark_test.go
+++ b/internal/connection/pooler/benchmark_test.go
@@ -46,5 +46,5 @@
 		})
 	}
 	done.Wait()
-	b.ReportMetric(float64(g.begun.Load()), "dials")
+	b.ReportMetric(float64(g.dials.Load()), "dials")
 }
--- a/internal/connection/pooler/dial_test.go
+++ b/internal/connection/pooler/dial_test.go
@@ -21,7 +21,7 @@
 // gate is a dialer whose dials hang until it is opened, except those for which passes
 // returns true.
 type gate struct {
-	begun  atomic.Int64
+	dials  atomic.Int64
 	passes func(nth int64) bool
 	open   chan struct{}
 }
@@ -35,7 +35,7 @@
 }
 
 func (g *gate) dial(ctx context.Context, address string) (net.Conn, error) {
-	if !g.passes(g.begun.Add(1)) {
+	if !g.passes(g.dials.Add(1)) {
 		select {
 		case <-g.open:
 		case <-ctx.Done():
@@ -89,9 +89,9 @@
 			is.Equal((<-results).Outcome, exchanger.Answered)
 		}
 	}
-	begun := g.begun.Load()
-	t.Log("dials begun:", begun)
-	is.True(begun <= slots+1)
+	dials := g.dials.Load()
+	t.Log("dials:", dials)
+	is.True(dials <= slots+1)
 }
 
 // TestHungDialHoldsNoSlot checks that all slots remain usable while the dial of a call
@@ -105,7 +105,7 @@
 	first := start(context.Background(), o, 1)
 	<-entered
 	second := start(context.Background(), o, 1)
-	for g.begun.Load() != 2 {
+	for g.dials.Load() != 2 {
 		runtime.Gosched()
 	}
 	leave <- struct{}{}
@@ -127,7 +127,7 @@
 	for i := range int64(cancelled) {
 		ctx, cancel := context.WithCancel(context.Background())
 		results := start(ctx, o, 1)
-		for g.begun.Load() != i+1 {
+		for g.dials.Load() != i+1 {
 			runtime.Gosched()
 		}
 		cancel()
@@ -157,7 +157,7 @@
 	first := start(context.Background(), o, 1)
 	<-entered
 	second := start(context.Background(), o, 1)
-	for g.begun.Load() != 2 {
+	for g.dials.Load() != 2 {
 		runtime.Gosched()
 	}
 	leave <- struct{}{}
--- a/internal/connection/pooler/discard_test.go
+++ b/internal/connection/pooler/discard_test.go
@@ -39,7 +39,7 @@
 		r := o.Run(context.Background(), call("x", nil, io.Discard))
 		is.Equal(r.Reason, exchanger.ReasonUpstreamBusy)
 	}
-	is.Equal(g.begun.Load(), int64(1))
+	is.Equal(g.dials.Load(), int64(1))
 }
 
 // TestProbeKeepsItsConnection checks that probes with a body in the response take one
@@ -59,7 +59,7 @@
 		is.True(<-probed)
 		c.now.Add(int64(timekeeper.Hour))
 	}
-	is.Equal(g.begun.Load(), int64(1))
+	is.Equal(g.dials.Load(), int64(1))
 }
 
 // TestRefusalDoesNotWaitForItsBody checks that a refusal is returned although its body
--- a/internal/connection/pooler/owner.go
+++ b/internal/connection/pooler/owner.go
@@ -321,7 +321,7 @@
 	return u.draining || u.vmLeaving || u.removed
 }
 
-// markDown starts a back-off of u unless one is under way.
+// markDown starts a back-off of u unless it is in back-off already.
 func (p *Pool) markDown(u *upstream) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
