--- a/internal/connection/sender/send_test.go
+++ b/internal/connection/sender/send_test.go
@@ -276,8 +276,8 @@
 	is.True(<-ended)
 }
 
-// An upstream may respond before it has read a long body. The rest of the body must not
-// be sent, and the connection must not be reused.
+// TestEarlyAnswerToALongBody has an upstream respond before it has read a long body. The
+// rest of the body must not be sent, and the connection must not be reused.
 func TestEarlyAnswerToALongBody(t *testing.T) {
 	is := is.New(t)
 	s := newScript(t, func(c conn, next func() string) {
