--- a/internal/connection/pipeliner/conn.go
+++ b/internal/connection/pipeliner/conn.go
@@ -173,10 +173,10 @@
 	defer c.lock.Unlock()
 	c.phase, c.next = waiting, p
 	over := func() bool { return c.closing || c.broken }
-	if !c.readAheadUntil(func() bool { return over() || c.mayBegin(p) }) || over() {
+	if !c.readAheadUntil(func() bool { return over() || c.mayStart(p) }) || over() {
 		return false
 	}
-	c.begin(p)
+	c.start(p)
 	return true
 }
 
@@ -210,9 +210,9 @@
 	return true
 }
 
-// mayBegin reports whether a request may start while the pending ones are handled. The
+// mayStart reports whether a request may start while the pending ones are handled. The
 // caller holds the lock.
-func (c *conn) mayBegin(p *response) bool {
+func (c *conn) mayStart(p *response) bool {
 	n := len(c.pending)
 	switch {
 	case n == 0:
@@ -223,8 +223,8 @@
 	return p.mayOverlap() && c.pending[0].mayOverlap()
 }
 
-// begin records the start of a request. The caller holds the lock.
-func (c *conn) begin(p *response) {
+// start records the start of a request. The caller holds the lock.
+func (c *conn) start(p *response) {
 	if len(c.pending) > 0 {
 		p.pipelined = true
 		c.server.pipelined.Add(1)
@@ -261,7 +261,7 @@
 		c.interrupt()
 	case c.phase == idle && len(c.pending) == 0:
 		c.setReadTimeout(c.server.idleTimeout())
-	case c.phase == waiting && (c.next == nil && len(c.pending) == 0 || c.next != nil && c.mayBegin(c.next)):
+	case c.phase == waiting && (c.next == nil && len(c.pending) == 0 || c.next != nil && c.mayStart(c.next)):
 		c.interrupt()
 	}
 }
