--- a/internal/process/fronter/doc.go
+++ b/internal/process/fronter/doc.go
@@ -1,5 +1,4 @@
-// Package fronter is an entry that sends straight to upstreams: it takes callers'
-// requests, answers look-ups, tells whether it is ready, and stops without
-// cutting a request. Where configuration, upstreams and members come from is up
-// to whoever fills them in.
+// Package fronter implements an entry that sends requests directly to upstreams. It
+// accepts callers' requests, answers lookups, reports readiness and shuts down
+// gracefully. The embedding process supplies configuration, upstreams and members.
 package fronter
--- a/internal/process/fronter/export_test.go
+++ b/internal/process/fronter/export_test.go
@@ -2,5 +2,5 @@
 
 import "context"
 
-// AwaitStart is awaitStart.
-func (f *Fronter) AwaitStart(ctx context.Context) { f.awaitStart(ctx) }
+// AwaitStartup exports awaitStartup for tests.
+func (f *Fronter) AwaitStartup(ctx context.Context) { f.awaitStartup(ctx) }
--- a/internal/process/fronter/fronter.go
+++ b/internal/process/fronter/fronter.go
@@ -27,50 +27,51 @@
 )
 
 const (
-	// maxHeaderBytes bounds the head of a request whatever the configuration
-	// says.
+	// maxHeaderBytes bounds the head of a request independently of the
+	// configuration.
 	maxHeaderBytes = 1 << 20
 
-	// checkIdleTimeout is how long connections of look-ups, checks and metrics may be
-	// idle: checks come every second, look-ups every few.
+	// checkIdleTimeout closes idle connections of lookups, readiness checks and
+	// metrics. Checks arrive every second, lookups every few seconds.
 	checkIdleTimeout = 30 * time.Second
 
-	// sweepEvery is how often idle connections are looked through.
-	sweepEvery = time.Second
+	// sweepInterval is how often idle upstream connections are swept.
+	sweepInterval = time.Second
 
-	// membersEvery is how old the view of the members may be by which bounds are
-	// divided: a heartbeat.
-	membersEvery = 500 * time.Millisecond
+	// membersInterval is how often the list of live members, among which shared
+	// bounds are divided, is refreshed: once per heartbeat.
+	membersInterval = 500 * time.Millisecond
 
-	// forgetEvery is how often keys are looked through that nobody asks for: it
-	// takes 1.8 ms for the most keys that are kept (BenchmarkForget).
-	forgetEvery = 15 * time.Second
+	// forgetInterval is how often unused keys are evicted. A pass over the maximum
+	// number of keys takes 1.8 ms (BenchmarkForget).
+	forgetInterval = 15 * time.Second
 
-	// linesPerSecond and linesAtOnce bound the lines about requests: five times
-	// what a VM of today handles. At 19 µs each (BenchmarkLine) they take 4 ms
-	// of processor a second at most.
-	linesPerSecond = 200
-	linesAtOnce    = 400
+	// requestLogRate, in lines per second, and requestLogBurst limit the log lines
+	// about requests. They allow five times the request rate of a VM. At 19 µs per
+	// line (BenchmarkLine) logging takes at most 4 ms of CPU time per second.
+	requestLogRate  = 200
+	requestLogBurst = 400
 
-	// keepAliveIdle, keepAliveEvery and keepAliveCount find a connection that
-	// went silent for good within about 3 s.
-	keepAliveIdle  = time.Second
-	keepAliveEvery = time.Second
-	keepAliveCount = 2
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect a dead peer within
+	// about 3 s.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
 
-	// stopReserve is the part of the time to stop that is left for ending
-	// listeners and logs.
+	// stopReserve is the part of StopWithin that is reserved for closing listeners
+	// and flushing logs.
 	stopReserve = 300 * timekeeper.Millis(1)
 
-	// closingTime is how long before the end the listeners are closed.
-	closingTime = 1000 * timekeeper.Millis(1)
+	// listenerCloseTimeout is how long before the stop deadline the listeners are
+	// closed, and so how long requests in flight then have to finish.
+	listenerCloseTimeout = 1000 * timekeeper.Millis(1)
 )
 
 type (
-	// Options say where an entry listens and what its limits are.
+	// Options configures an entry: its listeners, limits and dependencies.
 	Options struct {
-		// Front takes callers, Ready answers checks, Directory look-ups,
-		// Metrics serves metrics; an empty address opens no listener.
+		// Front, Ready, Directory and Metrics are the listen addresses for callers,
+		// readiness checks, lookups and metrics. An empty address opens no listener.
 		Front     string
 		Ready     string
 		Directory string
@@ -78,74 +79,77 @@
 
 		Fields    dispatcher.Fields
 		ParseLoad func(string) (tracker.Report, bool)
-		// LookUp answers look-ups.
+		// LookUp serves lookups on the Directory listener.
 		LookUp http.Handler
-		// ReadyPath and MetricsPath are the paths of the other two.
+		// ReadyPath and MetricsPath are the paths served on the Ready and Metrics
+		// listeners.
 		ReadyPath   string
 		MetricsPath string
 
-		// StopWithin is the time between the order to stop and the end.
+		// StopWithin is the time the process has to exit once Leave is called.
 		StopWithin timekeeper.Millis
 
-		// Self is the name of this member, Members returns the living ones.
+		// Self is the name of this member.
 		Self string
-		// Site is where this member is.
-		Site    registrar.Site
+		// Site is the location of this member.
+		Site registrar.Site
+		// Members returns the live members.
 		Members func() []heartbeater.Member
-		// Behind returns for how long a change has been known of, maybe one of the
-		// configuration, that has not been read. Nil means never.
+		// Behind returns for how long a change that may concern the configuration has
+		// been announced but not read. Nil means that no such change is ever pending.
 		Behind func() timekeeper.Millis
-		// Uncertain tells that keys may have been taken away without this member's knowledge
-		// for too long. Nil means never.
+		// Uncertain reports whether revocations of API keys have gone unconfirmed for
+		// too long. Nil means never.
 		Uncertain func() bool
-		Bounds    func() Bounds
-		// Ended is told of an upstream at whose address another incarnation answers. Nil
-		// means nobody wants to know.
+		// Bounds returns the limits that all members share.
+		Bounds func() Bounds
+		// Ended is called when another incarnation answers at the address of an
+		// upstream. It may be nil.
 		Ended func(cataloger.Incarnation)
-		// Homes knows where keys live.
+		// Homes maps keys to their home upstreams.
 		Homes *assigner.Assigner
-		// Quarantine knows requests that crash their upstreams.
+		// Quarantine tracks requests that crash their upstreams.
 		Quarantine *quarantiner.Quarantiner
-		// Limits keeps organisations within their limits. Nil means that none is limited.
+		// Limits enforces the rate limits of organisations. Nil means no limits.
 		Limits *limiter.Limiter
-		// Without are the mechanisms that are off.
+		// Without lists the disabled mechanisms.
 		Without switcher.Set
-		// Changed is told that the entry became ready.
+		// Changed is called when the entry becomes ready. It may be nil.
 		Changed func()
 
 		Log *logrus.Logger
 	}
 
-	// Fronter is one entry. Build it with New.
+	// Fronter is an entry. Create it with New.
 	Fronter struct {
 		Catalog cataloger.Catalog
 		Meter   *measurer.Meter
 
 		options    Options
 		config     atomic.Pointer[matcher.Config]
-		start      start
-		leavingAt  atomic.Int64
+		startup    startup
+		stopsAt    atomic.Int64
 		clock      timekeeper.Clock
 		upstreams  *tracker.Set
 		dispatcher *dispatcher.Dispatcher
-		// shutdowns stop the listeners without cutting a request.
+		// shutdowns close the listeners gracefully.
 		shutdowns []func(context.Context) error
-		// addresses are where the listeners are, in the order of the options.
+		// addresses are the listen addresses, in the order of the options.
 		addresses []string
 		cancel    context.CancelFunc
-		// living is the living members, looked up now and then: it is asked for
-		// with every request.
-		living atomic.Pointer[[]heartbeater.Member]
-		// lines bounds the lines about requests; the others are counted only.
-		lines *rate.Limiter
+		// liveMembers caches the live members, since every request reads them. It is
+		// refreshed every membersInterval.
+		liveMembers atomic.Pointer[[]heartbeater.Member]
+		// requestLog limits the log lines about requests. Dropped lines are counted.
+		requestLog *rate.Limiter
 	}
 )
 
-// New builds an entry. It opens no listener yet.
+// New returns an entry. Start opens its listeners.
 func New(o Options) *Fronter {
-	f := &Fronter{options: o, Meter: measurer.New(), lines: rate.NewLimiter(linesPerSecond, linesAtOnce)}
-	f.start.began, f.start.done = f.clock.Now(), make(chan struct{})
-	f.upstreams = &tracker.Set{Dial: dial, Counter: f.counter}
+	f := &Fronter{options: o, Meter: measurer.New(), requestLog: rate.NewLimiter(requestLogRate, requestLogBurst)}
+	f.startup.startedAt, f.startup.done = f.clock.Now(), make(chan struct{})
+	f.upstreams = &tracker.Set{Dial: dial, Counter: f.byteCounter}
 	f.dispatcher = &dispatcher.Dispatcher{
 		Config:     f.Config,
 		Behind:     o.Behind,
@@ -154,8 +158,8 @@
 		Upstreams:  f.upstreams,
 		Fields:     o.Fields,
 		ParseLoad:  o.ParseLoad,
-		MayWarm:    f.mayWarm,
-		Warm:       f.warm,
+		MayWarm:    f.hasWarmupRoom,
+		Warm:       f.acquireWarmupRoom,
 		Homes:      o.Homes,
 		Ended:      o.Ended,
 		Quarantine: o.Quarantine,
@@ -164,7 +168,7 @@
 			Limits: f.retryLimits,
 		},
 		LeavingAt: f.LeavingAt,
-		Start:     f.awaitStart,
+		Start:     f.awaitStartup,
 		Waited:    pipeliner.Waited,
 		Decided:   f.logDecision,
 		Lost:      f.logLoss,
@@ -174,19 +178,21 @@
 	return f
 }
 
-// MarkEnded takes another VM's word that an incarnation has ended: it gets no requests.
+// MarkEnded records another VM's report that an incarnation has terminated, so that it gets
+// no more requests.
 func (f *Fronter) MarkEnded(i cataloger.Incarnation) {
 	if u, known := f.Catalog.Known(i.ID); known && u.Born == i.Born {
 		f.upstreams.Of(&u).Misdirected()
 	}
 }
 
-// Config returns the configuration in force, nil if none is known.
+// Config returns the configuration in force, or nil if none is known.
 func (f *Fronter) Config() *matcher.Config {
 	return f.config.Load()
 }
 
-// SetConfig puts a configuration into force unless a later one is.
+// SetConfig puts a configuration into force and reports whether it did. It ignores a
+// configuration that is not newer than the one in force.
 func (f *Fronter) SetConfig(c *matcher.Config) bool {
 	for {
 		old := f.config.Load()
@@ -195,25 +201,25 @@
 		}
 		if f.config.CompareAndSwap(old, c) {
 			f.Meter.Gauge("config_version", measurer.Labels{}, float64(c.Version))
-			f.advance()
+			f.completeStartup()
 			return true
 		}
 	}
 }
 
-// Ready tells whether the entry serves callers.
+// Ready reports whether the entry serves callers: it has started and is not leaving.
 func (f *Fronter) Ready() bool {
 	return f.started() && f.LeavingAt() == 0
 }
 
-// LeavingAt returns when the process ends, 0 if it was not asked to.
+// LeavingAt returns the stop deadline, or 0 if the entry is not leaving.
 func (f *Fronter) LeavingAt() timekeeper.Millis {
-	return timekeeper.Millis(f.leavingAt.Load())
+	return timekeeper.Millis(f.stopsAt.Load())
 }
 
-// Start opens the listeners.
+// Start opens the listeners and starts the background loops.
 func (f *Fronter) Start() error {
-	f.tellWithout()
+	f.reportDisabled()
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	if err := f.startListeners(); err != nil {
@@ -226,9 +232,9 @@
 	return nil
 }
 
-// tellWithout writes a line and sets a metric for what is off, so that figures of an
-// experiment are not taken for those of the whole.
-func (f *Fronter) tellWithout() {
+// reportDisabled logs the disabled mechanisms and sets a gauge for each, so that results of
+// an experiment are not mistaken for those of the complete system.
+func (f *Fronter) reportDisabled() {
 	s := f.options.Without
 	if s == 0 {
 		return
@@ -241,7 +247,7 @@
 
 func (f *Fronter) startListeners() error {
 	if f.options.Front != "" {
-		s := f.callers()
+		s := f.callerServer()
 		if err := f.listen(f.options.Front, s.Serve, s.Shutdown); err != nil {
 			return err
 		}
@@ -266,32 +272,32 @@
 	return nil
 }
 
-// Addresses returns where the listeners are that have an address, in the order of the
-// options. A port of 0 there is the one that was given here.
+// Addresses returns the addresses of the open listeners, in the order of the options. A
+// port of 0 in the options is replaced by the assigned port.
 func (f *Fronter) Addresses() []string {
 	return f.addresses
 }
 
-// Leave begins to stop: the entry is not ready any more, and callers that still
-// know its address are told to go elsewhere with their answers.
+// Leave begins the shutdown: the entry is no longer ready, and responses tell callers that
+// still use its address to go elsewhere.
 func (f *Fronter) Leave() {
 	began := f.clock.Now()
 	end := began + f.options.StopWithin - stopReserve
-	f.leavingAt.Store(int64(end))
+	f.stopsAt.Store(int64(end))
 	f.options.Log.WithFields(logrus.Fields{"active": f.dispatcher.Active(), "endsIn": end - began}).Info("leaving")
 }
 
-// Stop ends an entry that is leaving so that no request is cut: it answers on
-// until shortly before its time is over, and waits for what is under way.
+// Stop shuts down an entry after Leave. It serves requests until shortly before the stop
+// deadline, then closes the listeners and waits for the requests in flight.
 func (f *Fronter) Stop() {
 	end := f.LeavingAt()
-	time.Sleep(max(end-closingTime-f.clock.Now(), 0).Duration())
+	time.Sleep(max(end-listenerCloseTimeout-f.clock.Now(), 0).Duration())
 	f.closeListeners(end)
 	f.cancel()
 	f.Meter.Close()
 }
 
-// closeListeners stops accepting and waits for the requests under way.
+// closeListeners stops accepting and waits for the requests in flight, until end at most.
 func (f *Fronter) closeListeners(end timekeeper.Millis) {
 	ctx, cancel := context.WithTimeout(context.Background(), max(end-f.clock.Now(), 0).Duration())
 	defer cancel()
@@ -306,13 +312,13 @@
 
 func (f *Fronter) runShutdown(ctx context.Context, shutdown func(context.Context) error, done chan<- struct{}) {
 	if err := shutdown(ctx); err != nil {
-		f.options.Log.WithError(err).Warn("listener stopped before all its requests ended")
+		f.options.Log.WithError(err).Warn("listener closed with requests in flight")
 	}
 	done <- struct{}{}
 }
 
-// callers is the server of callers' requests.
-func (f *Fronter) callers() *pipeliner.Server {
+// callerServer returns the server for callers' requests.
+func (f *Fronter) callerServer() *pipeliner.Server {
 	return &pipeliner.Server{
 		Handler:      f.dispatcher,
 		MayOverlap:   f.dispatcher.MayOverlap,
@@ -330,7 +336,7 @@
 	}
 }
 
-// limits are those of the configuration in force, none if none is known.
+// limits returns the limits of the configuration in force, or zero limits if none is known.
 func (f *Fronter) limits() matcher.Limits {
 	if c := f.Config(); c != nil {
 		return c.Limits
@@ -338,7 +344,7 @@
 	return matcher.Limits{}
 }
 
-// listen opens a listener that a server serves until it is shut down.
+// listen opens a listener, serves it in a goroutine and registers its shutdown.
 func (f *Fronter) listen(address string, serve func(net.Listener) error, shutdown func(context.Context) error) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -352,7 +358,7 @@
 
 func (f *Fronter) runServer(serve func(net.Listener) error, l net.Listener) {
 	if err := serve(l); err != nil && !eris.Is(err, http.ErrServerClosed) {
-		f.options.Log.WithError(err).Error("listener ended")
+		f.options.Log.WithError(err).Error("listener failed")
 	}
 }
 
@@ -379,7 +385,7 @@
 }
 
 func (f *Fronter) loopSweep(ctx context.Context) {
-	timekeeper.Every(ctx, sweepEvery, func() {
+	timekeeper.Every(ctx, sweepInterval, func() {
 		f.upstreams.Sweep(func(i cataloger.Incarnation) bool {
 			u, ok := f.Catalog.Known(i.ID)
 			return ok && u.Born == i.Born
@@ -388,22 +394,22 @@
 }
 
 func (f *Fronter) loopMembers(ctx context.Context) {
-	timekeeper.Every(ctx, membersEvery, f.lookUpMembers)
+	timekeeper.Every(ctx, membersInterval, f.refreshMembers)
 }
 
-func (f *Fronter) lookUpMembers() {
+func (f *Fronter) refreshMembers() {
 	if f.options.Members == nil {
 		return
 	}
 	l := f.options.Members()
-	f.living.Store(&l)
+	f.liveMembers.Store(&l)
 }
 
 func (f *Fronter) loopForget(ctx context.Context) {
-	timekeeper.Every(ctx, forgetEvery, f.forget)
+	timekeeper.Every(ctx, forgetInterval, f.forget)
 }
 
-// forget drops what is known of keys and organisations that nobody asks for.
+// forget evicts the state of unused keys and organisations.
 func (f *Fronter) forget() {
 	if f.options.Homes != nil {
 		f.options.Homes.Forget()
@@ -413,17 +419,17 @@
 	}
 }
 
-// mayLog tells whether one more line about a request may be written now, and counts those
-// that may not.
+// mayLog reports whether the rate limit allows another log line about a request, and counts
+// the lines that it drops.
 func (f *Fronter) mayLog() bool {
-	if f.lines.Allow() {
+	if f.requestLog.Allow() {
 		return true
 	}
 	f.Meter.Count("log_lines_dropped", measurer.Labels{})
 	return false
 }
 
-// logLoss writes one line for a connection that was lost under a request.
+// logLoss logs an upstream connection that was lost during a request.
 func (f *Fronter) logLoss(l *dispatcher.Loss) {
 	if !f.mayLog() {
 		return
@@ -434,7 +440,7 @@
 	}).Info("connection lost")
 }
 
-// logDecision writes one line for a request that ended.
+// logDecision logs a completed request.
 func (f *Fronter) logDecision(e *dispatcher.Decision) {
 	if !f.mayLog() {
 		return
@@ -461,13 +467,14 @@
 	f.options.Log.WithFields(fields).Info("request")
 }
 
-// dial opens a connection that finds out by itself when the other end is gone.
+// dial opens a connection that detects a dead peer by keep-alive probes and the TCP user
+// timeout.
 func dial(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{KeepAliveConfig: KeepAlive(), Control: userTimeout}
+	d := net.Dialer{KeepAliveConfig: KeepAlive(), Control: setUserTimeout}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// KeepAlive are the probes of idle connections of this process.
+// KeepAlive returns the TCP keep-alive settings of this process.
 func KeepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveCount}
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 }
--- a/internal/process/fronter/limit.go
+++ b/internal/process/fronter/limit.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// unackedLimit is how long sent bytes may stay unacknowledged before the
-	// other end counts as gone: two retransmissions fit in between distant
-	// regions, and half of a request's time is left for another upstream.
-	unackedLimit = 700 * time.Millisecond
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the
+	// connection is closed. It allows two retransmissions between distant regions and
+	// leaves half of a request's time for another upstream.
+	unackedTimeout = 700 * time.Millisecond
 
-	// tcpUserTimeout is the number of the socket option of that name, which
-	// package syscall lacks.
+	// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not define.
 	tcpUserTimeout = 0x12
 )
 
-// userTimeout lets the kernel give up a connection whose other end is silent.
-func userTimeout(_, _ string, c syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT, so that the kernel closes a connection whose peer
+// stops acknowledging.
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedLimit/time.Millisecond))
+		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout/time.Millisecond))
 	})
 	if err != nil {
 		return err
--- a/internal/process/fronter/parts.go
+++ b/internal/process/fronter/parts.go
@@ -12,121 +12,124 @@
 )
 
 const (
-	// burstShare is the part of the fleet's burst of repeats that the living
-	// members divide. The rest covers members that were replaced within the
-	// window, whose repeats still count, and views that differ.
-	burstShare = 0.5
+	// retryBurstShare is the part of the fleet's retry burst that the live members
+	// divide. The rest covers members replaced within the window, whose retries still
+	// count, and members whose views of the membership differ.
+	retryBurstShare = 0.5
 
-	// coldSenders is how many members send to a cold upstream. One more than
-	// one, so that the loss of one does not leave the upstream without
-	// requests; few, so that what all may send in one second stays within the
-	// bound although members do not agree on anything.
-	coldSenders = 2
+	// warmupSenders is how many members send to a cold upstream. It exceeds one, so
+	// that the upstream still gets requests when a sender is lost. It is small, so
+	// that the senders stay within the bound per second without coordination.
+	warmupSenders = 2
 
-	// mostColdSenders is how many may take themselves for one of the senders: one
-	// more than there are, while not all know yet that a member is gone or new.
-	mostColdSenders = 3
+	// maxWarmupSenders is how many members may consider themselves senders while their
+	// views of the membership differ: one more than warmupSenders.
+	maxWarmupSenders = 3
 
-	// leastColdRate is the least rate of a sender, in requests a second, so that an
-	// upstream with a tight bound gets some at all.
-	leastColdRate = 0.1
+	// minWarmupRate is the minimum rate of a sender in requests per second, so that an
+	// upstream with a tight bound still gets requests.
+	minWarmupRate = 0.1
 
-	// coldShare is the part of a cold upstream's rate that is used.
-	coldShare = 0.9
+	// warmupRateShare is the part of a cold upstream's warm-up rate that is used.
+	warmupRateShare = 0.9
 
-	// coldBurst is how many requests a sender may send at once.
-	coldBurst = 1
+	// warmupBurst is how many requests a sender may send at once to a cold upstream.
+	warmupBurst = 1
 
-	// defaultColdRate is the rate of a cold upstream whose service states none.
-	defaultColdRate = 5.0
+	// defaultWarmupRate is the warm-up rate, in requests per second, of upstreams whose
+	// service configures none.
+	defaultWarmupRate = 5.0
 )
 
-// Bounds are limits that hold for all members together. Each member uses a part,
-// so that the parts sum to less than the whole without an agreement.
+// Bounds are limits that all members share. Each member uses a part, chosen so that the
+// parts sum to less than the whole without coordination.
 type Bounds struct {
+	// RetryRatio and RetryBurst limit the retries within RetryWindow: the ratio of
+	// retries to requests and a number of retries on top of it.
 	RetryRatio float64
 	RetryBurst float64
-	// RetryWindow is the time over which repeats are counted.
+	// RetryWindow is the time over which retries are counted.
 	RetryWindow timekeeper.Millis
-	// ColdOver and ColdSlack bound the requests to a cold upstream in any
-	// second: its own rate times the first plus the second. Both 0 is no bound.
+	// ColdOver and ColdSlack bound the requests to a cold upstream in any second to
+	// rate*ColdOver + ColdSlack, where rate is its warm-up rate. Both 0 means no bound.
 	ColdOver  float64
 	ColdSlack float64
 }
 
-// ColdPart is the rate at which one sender may send to a cold upstream that bears
-// perSecond, both in requests a second: its part of what the upstream bears, and no
-// more than keeps all that may be sending within the bound, with a request each that
-// they may send at once.
-func (b Bounds) ColdPart(perSecond float64) float64 {
-	part := perSecond * coldShare / coldSenders
+// WarmupRate returns the rate at which one sender may send to a cold upstream with a
+// warm-up rate of perSecond, both in requests per second. It is the sender's part of
+// perSecond, reduced as needed to keep maxWarmupSenders within the bound, each with its
+// burst.
+func (b Bounds) WarmupRate(perSecond float64) float64 {
+	rate := perSecond * warmupRateShare / warmupSenders
 	if b.ColdOver == 0 && b.ColdSlack == 0 {
-		return part
+		return rate
 	}
-	most := perSecond*b.ColdOver + b.ColdSlack
-	return max(min(part, most/mostColdSenders-coldBurst), leastColdRate)
+	limit := perSecond*b.ColdOver + b.ColdSlack
+	return max(min(rate, limit/maxWarmupSenders-warmupBurst), minWarmupRate)
 }
 
-// retryLimits is this member's part of the repeats.
+// retryLimits returns this member's part of the retry limits.
 func (f *Fronter) retryLimits() dispatcher.RetryLimits {
 	b := f.options.Bounds()
 	return dispatcher.RetryLimits{
 		Ratio:  b.RetryRatio,
-		Burst:  b.RetryBurst * burstShare / float64(max(len(f.members()), 1)),
+		Burst:  b.RetryBurst * retryBurstShare / float64(max(len(f.members()), 1)),
 		Window: b.RetryWindow,
 	}
 }
 
-// mayWarm tells whether this member may send a request to a cold upstream now.
-func (f *Fronter) mayWarm(u *cataloger.Upstream, t *tracker.Upstream) bool {
-	return f.sendsCold(u) && t.MayWarm(f.coldRate(u), coldBurst)
+// hasWarmupRoom reports whether this member may send a request to a cold upstream now.
+func (f *Fronter) hasWarmupRoom(u *cataloger.Upstream, t *tracker.Upstream) bool {
+	return f.isWarmupSender(u) && t.MayWarm(f.warmupRate(u), warmupBurst)
 }
 
-// warm takes one request of this member's part of a cold upstream's rate.
-func (f *Fronter) warm(u *cataloger.Upstream, t *tracker.Upstream) bool {
-	return t.Warm(f.coldRate(u), coldBurst)
+// acquireWarmupRoom takes one request from this member's part of a cold upstream's warm-up
+// rate and reports whether there was room.
+func (f *Fronter) acquireWarmupRoom(u *cataloger.Upstream, t *tracker.Upstream) bool {
+	return t.Warm(f.warmupRate(u), warmupBurst)
 }
 
-// coldRate is this member's part of a cold upstream's rate, in requests a second, if
-// it is one of its senders.
-func (f *Fronter) coldRate(u *cataloger.Upstream) float64 {
-	perSecond := defaultColdRate
+// warmupRate returns a sender's part of a cold upstream's warm-up rate, in requests per
+// second.
+func (f *Fronter) warmupRate(u *cataloger.Upstream) float64 {
+	perSecond := defaultWarmupRate
 	if c := f.Config(); c != nil && c.Services[u.Service].WarmupPerSecond > 0 {
 		perSecond = c.Services[u.Service].WarmupPerSecond
 	}
-	return f.options.Bounds().ColdPart(perSecond)
+	return f.options.Bounds().WarmupRate(perSecond)
 }
 
-// sendsCold tells whether this member is one of the senders to a cold upstream:
-// the first in the upstream's rendezvous order of the members of its region, or
-// of all members if there is none.
-func (f *Fronter) sendsCold(u *cataloger.Upstream) bool {
+// isWarmupSender reports whether this member is one of the senders to a cold upstream: the
+// first in the upstream's rendezvous order of the members of its region, or of all members
+// if its region has none.
+func (f *Fronter) isWarmupSender(u *cataloger.Upstream) bool {
 	all := f.members()
-	near := slices.DeleteFunc(slices.Clone(all), func(m heartbeater.Member) bool {
+	regional := slices.DeleteFunc(slices.Clone(all), func(m heartbeater.Member) bool {
 		return m.Site.Region() != u.Site.Region()
 	})
-	if len(near) > 0 {
-		all = near
+	if len(regional) > 0 {
+		all = regional
 	}
-	better := 0
+	higher := 0
 	own := hasher.Mix(u.Hash(), hasher.OfString(f.options.Self))
 	for _, m := range all {
 		if m.Name == f.options.Self {
 			continue
 		}
 		if hasher.Mix(u.Hash(), hasher.OfString(m.Name)) > own {
-			better++
+			higher++
 		}
 	}
-	isNear := slices.ContainsFunc(all, func(m heartbeater.Member) bool { return m.Name == f.options.Self })
-	return isNear && better < coldSenders
+	eligible := slices.ContainsFunc(all, func(m heartbeater.Member) bool { return m.Name == f.options.Self })
+	return eligible && higher < warmupSenders
 }
 
 func (f *Fronter) members() []heartbeater.Member {
-	l := f.living.Load()
+	l := f.liveMembers.Load()
 	if l == nil {
-		f.lookUpMembers()
-		l = f.living.Load()
+		f.refreshMembers()
+		l = f.liveMembers.Load()
 	}
 	if l == nil {
 		return nil
--- a/internal/process/fronter/parts_test.go
+++ b/internal/process/fronter/parts_test.go
@@ -9,9 +9,8 @@
 	"github.com/gullvale/gullvale/internal/process/fronter"
 )
 
-// TestColdPart lets three senders send their part and the request that each may send
-// at once: together they stay within the bound, and use what the upstream bears where
-// the bound is wide.
+// TestColdPart checks the warm-up rate of a sender: three senders with a burst of one
+// request each stay within the bound, and use the upstream's rate where the bound is wide.
 func TestColdPart(t *testing.T) {
 	for _, c := range []struct{ perSecond, over, slack, want float64 }{
 		{7.2, 1.5, 5, 3.24},
@@ -23,8 +22,8 @@
 	} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			is := is.New(t)
-			part := fronter.Bounds{ColdOver: c.over, ColdSlack: c.slack}.ColdPart(c.perSecond)
-			is.True(part > c.want-0.001 && part < c.want+0.001)
+			rate := fronter.Bounds{ColdOver: c.over, ColdSlack: c.slack}.WarmupRate(c.perSecond)
+			is.True(rate > c.want-0.001 && rate < c.want+0.001)
 		})
 	}
 }
--- a/internal/process/fronter/start.go
+++ b/internal/process/fronter/start.go
@@ -10,39 +10,40 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// startTime is how long after its start an entry holds requests for which it does not know
-// yet where to send them. Processes know it 0.2 to 0.35 s after their start, while a caller
-// that is refused comes back later than that, to an entry that starts as well if all were
-// lost. A start without the store goes on for longer, and refuses at once.
-const startTime = 1000 * timekeeper.Millis(1)
+// startupTimeout is how long after its start an entry holds requests that it cannot route
+// yet. Startup takes 0.2 to 0.35 s. A refused caller would come back later than that, and
+// would find another starting entry if all entries were lost. Startup without the store
+// takes longer; after the timeout requests are refused at once.
+const startupTimeout = 1000 * timekeeper.Millis(1)
 
-// start is what an entry has to know before it serves. The zero value knows nothing.
-type start struct {
-	began timekeeper.Millis
-	// upstreams and homes tell that upstreams, and homes of keys, are known.
-	upstreams, homes atomic.Bool
+// startup tracks what an entry needs to know before it serves.
+type startup struct {
+	startedAt timekeeper.Millis
+	// upstreamsKnown and homesKnown report whether the upstreams and the homes of keys
+	// are known.
+	upstreamsKnown, homesKnown atomic.Bool
 
 	once sync.Once
 	done chan struct{}
 }
 
-// SetListed says that the upstreams are known.
+// SetListed records that the upstreams are known.
 func (f *Fronter) SetListed() {
-	f.start.upstreams.Store(true)
-	f.advance()
+	f.startup.upstreamsKnown.Store(true)
+	f.completeStartup()
 }
 
-// SetHomed says that it is known where keys live, or that it cannot be known now. A
-// request for a key that comes before settles it elsewhere, for three times the work.
+// SetHomed records that the homes of keys are known, or that they cannot be known now. A
+// request that is served before that gives its key another home, at three times the work.
 func (f *Fronter) SetHomed() {
-	f.start.homes.Store(true)
-	f.advance()
+	f.startup.homesKnown.Store(true)
+	f.completeStartup()
 }
 
-// advance ends the start once all is known.
-func (f *Fronter) advance() {
-	s := &f.start
-	if f.Config() == nil || !s.upstreams.Load() || !f.homed() {
+// completeStartup completes the startup once configuration, upstreams and homes are known.
+func (f *Fronter) completeStartup() {
+	s := &f.startup
+	if f.Config() == nil || !s.upstreamsKnown.Load() || !f.homesKnown() {
 		return
 	}
 	s.once.Do(func() {
@@ -53,34 +54,34 @@
 	})
 }
 
-// homed tells whether the homes are known, as far as the start needs them.
-func (f *Fronter) homed() bool {
-	return f.options.Homes == nil || f.options.Without.Has(switcher.StartHomes) || f.start.homes.Load()
+// homesKnown reports whether the homes are known or startup does not require them.
+func (f *Fronter) homesKnown() bool {
+	return f.options.Homes == nil || f.options.Without.Has(switcher.StartHomes) || f.startup.homesKnown.Load()
 }
 
-// started tells whether the entry knows what it needs to serve.
+// started reports whether startup is complete.
 func (f *Fronter) started() bool {
 	select {
-	case <-f.start.done:
+	case <-f.startup.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// awaitStart waits for the end of the start, or until ctx ends or the start takes too long.
-func (f *Fronter) awaitStart(ctx context.Context) {
+// awaitStartup waits until startup is complete, ctx is done or startupTimeout has passed.
+func (f *Fronter) awaitStartup(ctx context.Context) {
 	if f.started() || f.options.Without.Has(switcher.StartWaits) {
 		return
 	}
-	rest := f.start.began + startTime - f.clock.Now()
-	if rest <= 0 {
+	remaining := f.startup.startedAt + startupTimeout - f.clock.Now()
+	if remaining <= 0 {
 		return
 	}
-	t := time.NewTimer(rest.Duration())
+	t := time.NewTimer(remaining.Duration())
 	defer t.Stop()
 	select {
-	case <-f.start.done:
+	case <-f.startup.done:
 	case <-ctx.Done():
 	case <-t.C:
 	}
--- a/internal/process/fronter/start_test.go
+++ b/internal/process/fronter/start_test.go
@@ -13,8 +13,8 @@
 	"github.com/gullvale/gullvale/internal/version/matcher"
 )
 
-// startEntry starts an entry that knows nothing yet.
-func startEntry(t *testing.T) *fronter.Fronter {
+// newStartingEntry starts an entry without configuration, upstreams and homes.
+func newStartingEntry(t *testing.T) *fronter.Fronter {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -23,7 +23,7 @@
 		Homes:  &assigner.Assigner{},
 		Bounds: func() fronter.Bounds { return fronter.Bounds{} },
 		Log:    log,
-		// No listener of metrics is opened, but their path is set up.
+		// The metrics path is registered even though no metrics listener is opened.
 		MetricsPath: "/metrics",
 	})
 	if err := f.Start(); err != nil {
@@ -33,7 +33,7 @@
 	return f
 }
 
-func ask(t *testing.T, f *fronter.Fronter) int {
+func get(t *testing.T, f *fronter.Fronter) int {
 	t.Helper()
 	p, err := http.Get("http://" + f.Addresses()[0] + "/x")
 	if err != nil {
@@ -44,13 +44,13 @@
 	return p.StatusCode
 }
 
-// TestRequestsWaitForTheStart sends a request to an entry that learns one after the other
-// what it needs: the request is handled with all of it, not refused.
+// TestRequestsWaitForTheStart guards against requests refused during startup: a request
+// waits until configuration, upstreams and homes are known, and is then served.
 func TestRequestsWaitForTheStart(t *testing.T) {
 	is := is.New(t)
-	f := startEntry(t)
+	f := newStartingEntry(t)
 	status := make(chan int)
-	go func() { status <- ask(t, f) }()
+	go func() { status <- get(t, f) }()
 	config, err := matcher.New(1, matcher.Limits{}, nil, nil)
 	is.NoErr(err)
 	is.True(f.SetConfig(config))
@@ -62,12 +62,12 @@
 	is.Equal(<-status, http.StatusNotFound)
 }
 
-// TestLongStartRefuses has an entry learn nothing: its callers hear so before their time is
-// over, and later ones at once.
+// TestLongStartRefuses guards against callers that wait for an entry whose startup does not
+// complete: the first is refused after the timeout, later ones at once.
 func TestLongStartRefuses(t *testing.T) {
 	is := is.New(t)
-	f := startEntry(t)
-	is.Equal(ask(t, f), http.StatusServiceUnavailable)
-	is.Equal(ask(t, f), http.StatusServiceUnavailable)
+	f := newStartingEntry(t)
+	is.Equal(get(t, f), http.StatusServiceUnavailable)
+	is.Equal(get(t, f), http.StatusServiceUnavailable)
 	is.True(!f.Ready())
 }
--- a/internal/process/fronter/without_test.go
+++ b/internal/process/fronter/without_test.go
@@ -18,22 +18,23 @@
 	"github.com/gullvale/gullvale/internal/version/matcher"
 )
 
-// watched is a context that ends once somebody waits for its end.
-type watched struct {
+// observedContext is a cancelled context that records whether Done was called.
+type observedContext struct {
 	context.Context
 	waited bool
 }
 
-// Done returns a channel that is closed.
-func (w *watched) Done() <-chan struct{} {
+// Done records the call and returns a closed channel.
+func (w *observedContext) Done() <-chan struct{} {
 	w.waited = true
 	c := make(chan struct{})
 	close(c)
 	return c
 }
 
-// without returns an entry that logs to out and has not started.
-func without(s switcher.Set, out io.Writer) *fronter.Fronter {
+// newEntryWithout returns an entry with the mechanisms s disabled, which logs to out and is
+// not started.
+func newEntryWithout(s switcher.Set, out io.Writer) *fronter.Fronter {
 	log := logrus.New()
 	log.SetOutput(out)
 	return fronter.New(fronter.Options{
@@ -45,14 +46,14 @@
 	})
 }
 
-// waitsForStart tells whether a request waits for an entry that knows nothing yet.
+// waitsForStart reports whether a request waits for the startup of an entry.
 func waitsForStart(f *fronter.Fronter) bool {
-	w := &watched{Context: context.Background()}
-	f.AwaitStart(w)
+	w := &observedContext{Context: context.Background()}
+	f.AwaitStartup(w)
 	return w.waited
 }
 
-// needsHomes tells whether an entry that knows all but the homes is not ready.
+// needsHomes reports whether an entry without homes, but with all else, is not ready.
 func needsHomes(f *fronter.Fronter) bool {
 	config, err := matcher.New(1, matcher.Limits{}, nil, nil)
 	if err != nil || !f.SetConfig(config) {
@@ -65,7 +66,7 @@
 func TestSwitchedOff(t *testing.T) {
 	tests := []struct {
 		mechanism switcher.Mechanism
-		acts      func(*fronter.Fronter) bool
+		isActive  func(*fronter.Fronter) bool
 	}{
 		{switcher.StartWaits, waitsForStart},
 		{switcher.StartHomes, needsHomes},
@@ -73,20 +74,20 @@
 	for _, tt := range tests {
 		t.Run(tt.mechanism.String(), func(t *testing.T) {
 			is := is.New(t)
-			is.True(tt.acts(without(0, io.Discard)))
-			is.True(!tt.acts(without(switcher.Of(tt.mechanism), io.Discard)))
+			is.True(tt.isActive(newEntryWithout(0, io.Discard)))
+			is.True(!tt.isActive(newEntryWithout(switcher.Of(tt.mechanism), io.Discard)))
 		})
 	}
 }
 
-// TestWhatIsOffIsTold starts an entry with two mechanisms off: a line and a metric name
-// them, and nothing is told where all are on.
+// TestWhatIsOffIsTold checks that a log line and a metric name the disabled mechanisms, and
+// that there is neither if all are enabled.
 func TestWhatIsOffIsTold(t *testing.T) {
 	for _, s := range []switcher.Set{0, switcher.Of(switcher.Homes, switcher.Rank)} {
 		t.Run(s.String(), func(t *testing.T) {
 			is := is.New(t)
 			var log bytes.Buffer
-			f := without(s, &log)
+			f := newEntryWithout(s, &log)
 			is.NoErr(f.Start())
 			is.Equal(strings.Contains(log.String(), "mechanisms off"), s != 0)
 			is.Equal(strings.Contains(log.String(), `without="homes,rank"`), s != 0)
