--- a/internal/process/fronter/start.go
+++ b/internal/process/fronter/start.go
@@ -43,7 +43,7 @@
 // completeStartup completes the startup once configuration, upstreams and homes are known.
 func (f *Fronter) completeStartup() {
 	s := &f.startup
-	if f.Config() == nil || !s.upstreamsKnown.Load() || !f.homesKnown() {
+	if f.Config() == nil || !s.upstreamsKnown.Load() || !f.hasHomes() {
 		return
 	}
 	s.once.Do(func() {
@@ -54,8 +54,8 @@
 	})
 }
 
-// homesKnown reports whether the homes are known or startup does not require them.
-func (f *Fronter) homesKnown() bool {
+// hasHomes reports whether the homes are known or startup does not require them.
+func (f *Fronter) hasHomes() bool {
 	return f.options.Homes == nil || f.options.Without.Has(switcher.StartHomes) || f.startup.homesKnown.Load()
 }
 
