--- a/internal/process/explainer/explain_test.go
+++ b/internal/process/explainer/explain_test.go
@@ -11,7 +11,7 @@
 	"github.com/gullvale/gullvale/internal/process/explainer"
 )
 
-// TestExplain reads the logs of each archive and explains the request that it names.
+// TestExplain checks the explanation of one request in the logs of each archive.
 func TestExplain(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(files) == 0 {
--- a/internal/process/explainer/line.go
+++ b/internal/process/explainer/line.go
@@ -10,28 +10,28 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxLine is the longest line of a log that is read, in bytes. Longer ones are an
-// error: a process writes lines of some hundred.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line. Longer lines are an error, since a
+// process writes lines of a few hundred bytes.
+const maxLineBytes = 1 << 20
 
-// The messages that are read.
+// The messages of the log lines that are evaluated.
 const (
-	msgRequest       = "request"
-	msgConfig        = "configuration in force"
-	msgUpstream      = "upstream"
-	msgUpstreamGone  = "upstream gone"
-	msgUpstreams     = "upstreams"
-	msgStoreLost     = "store lost"
-	msgStoreRegained = "store regained"
-	msgLost          = "connection lost"
-	msgQuarantined   = "request quarantined"
-	msgReleased      = "request released"
+	msgRequest        = "request"
+	msgConfig         = "configuration in force"
+	msgUpstream       = "upstream"
+	msgUpstreamGone   = "upstream gone"
+	msgUpstreams      = "upstreams"
+	msgStoreLost      = "store lost"
+	msgStoreRegained  = "store regained"
+	msgConnectionLost = "connection lost"
+	msgQuarantined    = "request quarantined"
+	msgReleased       = "request released"
 )
 
 type (
-	// Line is one line of a process's log, as far as it is used here.
+	// Line holds the fields of a log line that are used here.
 	Line struct {
-		// Source is where the line came from: the text before its object, or the
+		// Source is the origin of the line: the last word before its JSON object, or the
 		// name of the file if there is none.
 		Source  string    `json:"-"`
 		Time    time.Time `json:"time"`
@@ -41,63 +41,67 @@
 		Route   string `json:"route"`
 		Service string `json:"service"`
 		Class   string `json:"class"`
-		// Organisation is whose request it was, "" if it need not say.
+		// Organisation is the organisation that sent the request, "" if none was needed.
 		Organisation string `json:"organisation"`
 		Upstream     string `json:"upstream"`
 		Site         string `json:"site"`
-		// Placed is why Upstream was the choice, Left the home that the key left for it.
-		Placed   string `json:"placed"`
-		Left     string `json:"left"`
-		LeftSite string `json:"leftSite"`
-		Outcome  string `json:"outcome"`
-		Reason   string `json:"reason"`
-		Config   uint64 `json:"config"`
-		// Behind is for how many milliseconds a change had been known of, maybe one of
-		// the configuration, that had not been read.
-		Behind float64 `json:"behind"`
-		Status int     `json:"status"`
-		Tries  int     `json:"tries"`
-		Millis float64 `json:"ms"`
-		Load   float64 `json:"load"`
-		Own    int     `json:"own"`
-		// Objective is in milliseconds; Waited is how long the request waited for others
-		// of its connection, SentAfter when it was first sent.
-		Objective float64 `json:"objective"`
-		Waited    float64 `json:"waited"`
-		SentAfter float64 `json:"sentAfter"`
+		// Placement is why Upstream was chosen. PreviousHome is the home that the key left
+		// for it.
+		Placement        string `json:"placed"`
+		PreviousHome     string `json:"left"`
+		PreviousHomeSite string `json:"leftSite"`
+		Outcome          string `json:"outcome"`
+		Reason           string `json:"reason"`
+		Config           uint64 `json:"config"`
+		// ConfigLag is for how long, in milliseconds, a change that may concern the
+		// configuration had been announced but not read.
+		ConfigLag     float64 `json:"behind"`
+		Status        int     `json:"status"`
+		Attempts      int     `json:"tries"`
+		ElapsedMillis float64 `json:"ms"`
+		Load          float64 `json:"load"`
+		OwnRequests   int     `json:"own"`
+		// Objective is the target latency, PipelineWait how long the request waited for
+		// others of its connection and SentAfter how long after its arrival it was first
+		// sent, all in milliseconds.
+		Objective    float64 `json:"objective"`
+		PipelineWait float64 `json:"waited"`
+		SentAfter    float64 `json:"sentAfter"`
 
-		// Fingerprint stands for the request in all its repeats, Crashes is how many upstreams
-		// in a row ended under it, and Seen how many milliseconds before the last one did.
-		// Ending is what became of an upstream that closed a connection.
-		Fingerprint string  `json:"fingerprint"`
-		Crashes     uint32  `json:"crashes"`
-		Seen        float64 `json:"seen"`
-		Ending      string  `json:"ending"`
+		// Fingerprint identifies the request across retries. Crashes is how many upstreams
+		// in a row terminated during it, LastCrashMillis how many milliseconds before the
+		// line the last one did. UpstreamState is the state of an upstream that closed a
+		// connection.
+		Fingerprint     string  `json:"fingerprint"`
+		Crashes         uint32  `json:"crashes"`
+		LastCrashMillis float64 `json:"seen"`
+		UpstreamState   string  `json:"ending"`
 
-		Version uint64  `json:"version"`
-		Leaving bool    `json:"leaving"`
-		ColdFor float64 `json:"coldFor"`
-		Kind    string  `json:"kind"`
+		Version    uint64  `json:"version"`
+		Leaving    bool    `json:"leaving"`
+		ColdMillis float64 `json:"coldFor"`
+		Kind       string  `json:"kind"`
 
-		// LeavingUpstreams and GoneUpstreams are what a batch of changes said of several.
+		// LeavingUpstreams and GoneUpstreams are the upstreams that a batch of changes
+		// reported as leaving and as gone.
 		LeavingUpstreams []string `json:"leavingUpstreams"`
 		GoneUpstreams    []string `json:"goneUpstreams"`
 	}
 
-	// Log is the lines of several processes, those of each in the order in which
-	// they were written. The zero value is empty.
+	// Log holds the log lines of several processes, those of each process in the order in
+	// which they were written. The zero value is empty.
 	Log struct {
 		lines []Line
-		// Skipped counts lines that are no objects.
-		Skipped int
+		// SkippedLines counts lines without a valid JSON object.
+		SkippedLines int
 	}
 )
 
-// Read adds the lines of a reader. What stands before the object of a line, such as
-// the name of a VM that a collector put there, is its source.
+// Read adds the lines of r. The last word before the JSON object of a line, such as the name
+// of a VM added by a log collector, is the line's source; name is the source of other lines.
 func (l *Log) Read(r io.Reader, name string) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		l.add(s.Text(), name)
 	}
@@ -108,11 +112,11 @@
 	before, _, found := strings.Cut(text, "{")
 	x := Line{Source: name}
 	if !found || json.Unmarshal([]byte(text[len(before):]), &x) != nil {
-		l.Skipped++
+		l.SkippedLines++
 		return
 	}
-	// The last word before the object is the VM; a collector may have put its own
-	// time before it.
+	// The last word before the object is the VM. A collector may have put its own
+	// timestamp before it.
 	if words := strings.Fields(before); len(words) > 0 {
 		x.Source = words[len(words)-1]
 	}
--- a/internal/process/explainer/placement.go
+++ b/internal/process/explainer/placement.go
@@ -7,8 +7,8 @@
 	"github.com/gullvale/gullvale/internal/request/assigner"
 )
 
-// placements says what the reasons for the choice of an upstream mean.
-var placements = map[assigner.Reason]string{
+// placementTexts explains the reasons for the choice of an upstream.
+var placementTexts = map[assigner.Reason]string{
 	assigner.AtHome:        "it was the key's home as that VM knew it",
 	assigner.NewKey:        "no home of the key was known there: it got one now, and ran there for the first time unless another VM had placed it too",
 	assigner.Unkept:        "the key has no home, since as many keys have one as are kept: it went by its hash",
@@ -23,19 +23,19 @@
 	assigner.Keyless:       "it has no key that is kept to a home: it went by its hash",
 }
 
-// writePlacement says why the request's upstream was the choice, in logs that tell.
-func (t Try) writePlacement(say func(string, ...any)) {
-	q := t.Request
-	reason, former := strings.CutSuffix(q.Placed, assigner.FormerSuffix)
-	words, ok := placements[assigner.Reason(reason)]
+// writePlacement writes why the request's upstream was chosen, if the log says so.
+func (e Explanation) writePlacement(printf func(string, ...any)) {
+	q := e.Request
+	reason, former := strings.CutSuffix(q.Placement, assigner.FormerSuffix)
+	words, ok := placementTexts[assigner.Reason(reason)]
 	if !ok {
 		return
 	}
-	if q.Left != "" {
-		words += fmt.Sprintf("; the home was %s at %s", q.Left, q.LeftSite)
+	if q.PreviousHome != "" {
+		words += fmt.Sprintf("; the home was %s at %s", q.PreviousHome, q.PreviousHomeSite)
 	}
 	if former {
 		words += "; the key had run there before"
 	}
-	say("%s", words)
+	printf("%s", words)
 }
--- a/internal/process/explainer/suspect.go
+++ b/internal/process/explainer/suspect.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// mostEvidence is how many lines about a request that ended its upstreams are shown, the
-// latest ones.
-const mostEvidence = 8
+// maxEvidence is the maximum number of lines shown about a request that crashed its
+// upstreams. The latest are shown.
+const maxEvidence = 8
 
-// evidence returns what any VM had written before the request of line n about that request, by
-// its fingerprint, oldest first.
+// evidence returns the lines of any VM about the fingerprint of the request of line n that
+// are not later than it, oldest first.
 func (l *Log) evidence(n int) (out []*Line) {
 	q := l.lines[n]
 	if q.Fingerprint == "" {
@@ -19,49 +19,49 @@
 	}
 	for i := range l.lines {
 		x := &l.lines[i]
-		if x.Fingerprint == q.Fingerprint && !x.Time.After(q.Time) && x.tellsOfSuspect() {
+		if x.Fingerprint == q.Fingerprint && !x.Time.After(q.Time) && x.concernsSuspect() {
 			out = append(out, x)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b *Line) int { return a.Time.Compare(b.Time) })
-	return out[max(len(out)-mostEvidence, 0):]
+	return out[max(len(out)-maxEvidence, 0):]
 }
 
-func (x *Line) tellsOfSuspect() bool {
+func (x *Line) concernsSuspect() bool {
 	switch x.Message {
-	case msgLost, msgQuarantined, msgReleased:
+	case msgConnectionLost, msgQuarantined, msgReleased:
 		return true
 	}
 	return false
 }
 
-// writeSuspect says what was known of the request as one that ends its upstreams.
-func (t Try) writeSuspect(say func(string, ...any)) {
-	q := t.Request
+// writeSuspect writes what was known of the request as one that crashes its upstreams.
+func (e Explanation) writeSuspect(printf func(string, ...any)) {
+	q := e.Request
 	if q.Crashes > 0 {
-		say("%d upstreams in a row had ended under this request (%s), the last known there %s before", q.Crashes, q.Fingerprint,
-			(time.Duration(q.Seen) * time.Millisecond).Round(time.Millisecond))
+		printf("%d upstreams in a row had ended under this request (%s), the last known there %s before", q.Crashes, q.Fingerprint,
+			(time.Duration(q.LastCrashMillis) * time.Millisecond).Round(time.Millisecond))
 	}
-	for _, x := range t.Evidence {
-		say("%s", x.evidence(q))
+	for _, x := range e.Evidence {
+		printf("%s", x.evidenceText(q))
 	}
 }
 
-// evidence says what a line tells of the request.
-func (x *Line) evidence(q Line) string {
+// evidenceText describes what a line says about the request q.
+func (x *Line) evidenceText(q Line) string {
 	switch x.Message {
 	case msgQuarantined:
-		return fmt.Sprintf("%s had it in quarantine from %s before on", x.Source, ago(q, x))
+		return fmt.Sprintf("%s had it in quarantine from %s before on", x.Source, timeBefore(q, x))
 	case msgReleased:
-		return fmt.Sprintf("%s let it out of quarantine %s before", x.Source, ago(q, x))
+		return fmt.Sprintf("%s let it out of quarantine %s before", x.Source, timeBefore(q, x))
 	}
-	return fmt.Sprintf("%s lost its connection to %s under it %s before: %s", x.Source, x.Upstream, ago(q, x), endings[x.Ending])
+	return fmt.Sprintf("%s lost its connection to %s under it %s before: %s", x.Source, x.Upstream, timeBefore(q, x), upstreamStateTexts[x.UpstreamState])
 }
 
-// endings says what became of upstreams that closed a connection.
-var endings = map[string]string{
+// upstreamStateTexts describes the states of upstreams that closed a connection.
+var upstreamStateTexts = map[string]string{
 	"ended":       "the upstream had ended",
-	"alive":       "the upstream took a new connection",
-	"unreachable": "nothing was heard of the upstream then",
+	"alive":       "the upstream accepted a new connection",
+	"unreachable": "the upstream could not be reached then",
 	"leaving":     "the upstream was known to leave",
 }
