--- a/internal/process/commander/client.go
+++ b/internal/process/commander/client.go
@@ -19,14 +19,15 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// The environment of the command line. Each goes before the file.
+// The environment variables of the command line. EnvOperators and EnvToken override the
+// configuration file, whose path is EnvFile.
 const (
 	EnvFile      = "GULLVALE_FILE"
 	EnvOperators = "GULLVALE_OPERATORS"
 	EnvToken     = "GULLVALE_TOKEN"
 )
 
-// The exit codes.
+// The exit codes of the command line.
 const (
 	ExitDone        = 0
 	ExitFailed      = 1
@@ -37,54 +38,57 @@
 )
 
 const (
-	defaultFile = ".config/gullvale/operator.toml"
+	defaultConfigFile = ".config/gullvale/operator.toml"
 
-	// callTimeout is how long a daemon has to begin its answer to a call that it has
-	// received whole.
-	callTimeout = 5 * timekeeper.Second
+	// responseTimeout is how long a daemon may take to begin its response after it has
+	// received the complete request.
+	responseTimeout = 5 * timekeeper.Second
 
-	// longestUpload bounds a call with its body and answer: a table of 390,000 blocks, 10
-	// MB, takes 8 s at 10 Mbit/s, and ten times that from a phone on a bad day.
-	longestUpload = 90 * timekeeper.Second
+	// maxTransferTime bounds the transfer of a call's body and response. A table of 390,000
+	// blocks, 10 MB, takes 8 s at 10 Mbit/s and ten times that over a poor mobile
+	// connection.
+	maxTransferTime = 90 * timekeeper.Second
 
-	// settleTime is how long a change whose answer was lost is asked for
-	// again.
-	settleTime = 15 * time.Second
-	settlePace = 300 * time.Millisecond
+	// outcomeTimeout is how long a change whose response was lost is retried, every
+	// outcomeInterval.
+	outcomeTimeout  = 15 * time.Second
+	outcomeInterval = 300 * time.Millisecond
 )
 
 type (
-	// client calls the operators' listener of whichever daemon answers.
+	// client calls the operators' listener of the first daemon that responds.
 	client struct {
 		addresses []string
 		token     string
 	}
 
-	// failure is a command that did not succeed, with its exit code.
-	failure struct {
+	// commandError is the error of a failed command with its exit code.
+	commandError struct {
 		code int
 		text string
 	}
 
-	// lostError is a call whose answer was lost after it may have arrived.
-	lostError struct{ err error }
+	// responseLostError is the error of a call that may have been received but whose
+	// response was lost.
+	responseLostError struct{ err error }
 
-	// dialError is a call that reached nobody.
+	// dialError is the error of a call that reached no daemon.
 	dialError struct{ err error }
 
-	// downError is a call whose daemon did not reach the platform.
-	downError struct{ text string }
+	// platformError is the error of a call whose daemon could not reach the platform.
+	platformError struct{ text string }
 )
 
-func (f failure) Error() string   { return f.text }
-func (e lostError) Error() string { return e.err.Error() }
-func (e dialError) Error() string { return e.err.Error() }
-func (e downError) Error() string { return e.text }
+func (f commandError) Error() string      { return f.text }
+func (e responseLostError) Error() string { return e.err.Error() }
+func (e dialError) Error() string         { return e.err.Error() }
+func (e platformError) Error() string     { return e.text }
 
-// newClient reads addresses and token from the environment and the file.
+// newClient returns a client with the addresses and the token from the environment or the
+// configuration file.
 func newClient() (*client, error) {
 	c := &client{}
-	if err := c.readFile(); err != nil {
+	if err := c.loadConfig(); err != nil {
 		return nil, err
 	}
 	if v := os.Getenv(EnvOperators); v != "" {
@@ -94,35 +98,35 @@
 		c.token = v
 	}
 	if len(c.addresses) == 0 {
-		return nil, failure{ExitInput, fmt.Sprintf("no daemon to ask: set Operators in %s, or %s", file(), EnvOperators)}
+		return nil, commandError{ExitInput, fmt.Sprintf("no daemon to ask: set Operators in %s, or %s", configFile(), EnvOperators)}
 	}
 	for _, a := range c.addresses {
 		if _, err := netip.ParseAddrPort(a); err != nil {
-			return nil, failure{ExitInput, fmt.Sprintf("Operators: %q is not an IP number with a port", a)}
+			return nil, commandError{ExitInput, fmt.Sprintf("Operators: %q is not an IP number with a port", a)}
 		}
 	}
 	return c, nil
 }
 
-func file() string {
+func configFile() string {
 	if v := os.Getenv(EnvFile); v != "" {
 		return v
 	}
 	home, err := os.UserHomeDir()
 	if err != nil {
-		return defaultFile
+		return defaultConfigFile
 	}
-	return filepath.Join(home, defaultFile)
+	return filepath.Join(home, defaultConfigFile)
 }
 
-func (c *client) readFile() error {
-	name := file()
+func (c *client) loadConfig() error {
+	name := configFile()
 	data, err := os.ReadFile(name)
 	if errors.Is(err, os.ErrNotExist) && os.Getenv(EnvFile) == "" {
 		return nil
 	}
 	if err != nil {
-		return failure{ExitInput, err.Error()}
+		return commandError{ExitInput, err.Error()}
 	}
 	entries, problems := parser.Parse(name, data)
 	for _, e := range entries {
@@ -135,25 +139,25 @@
 			problems = append(problems, parser.Problem{
 				Position: e.Position,
 				Path:     e.Name(),
-				Text:     `unknown; the file holds Operators = ["ip:port", ...] and Token = "..."`,
+				Text:     `unknown; the file may set Operators = ["ip:port", ...] and Token = "..."`,
 			})
 		}
 	}
 	if len(problems) > 0 {
-		return failure{ExitInput, problems.Error()}
+		return commandError{ExitInput, problems.Error()}
 	}
 	return nil
 }
 
-// get reads from the first daemon that answers.
-func (c *client) get(ctx context.Context, path string, answer any) error {
-	return c.each(func(address string) error {
-		return c.call(ctx, http.MethodGet, address, path, nil, answer)
+// get reads path from the first daemon that responds.
+func (c *client) get(ctx context.Context, path string, response any) error {
+	return c.tryDaemons(func(address string) error {
+		return c.call(ctx, http.MethodGet, address, path, nil, response)
 	})
 }
 
-// change asks for a change until its outcome is known. All tries carry the same
-// id, so however many daemons accept it, it is made once.
+// change requests a change and retries until its outcome is known. All attempts carry the
+// same id, so that the change is made at most once, even if several daemons accept it.
 func (c *client) change(ctx context.Context, q operator.ChangeRequest) (operator.ChangeAnswer, error) {
 	q.ID = operator.NewChangeID()
 	body, err := json.Marshal(q)
@@ -162,47 +166,49 @@
 	}
 	var a operator.ChangeAnswer
 	var lost bool
-	end := time.Now().Add(settleTime)
+	end := time.Now().Add(outcomeTimeout)
 	for {
-		err := c.each(func(address string) error {
+		err := c.tryDaemons(func(address string) error {
 			err := c.call(ctx, http.MethodPost, address, operator.PathChange, body, &a)
-			var l lostError
+			var l responseLostError
 			lost = lost || errors.As(err, &l)
 			return err
 		})
-		if !lost || !open(err) || time.Now().After(end) {
-			return a, c.ended(err, lost, q)
+		if !lost || !isUnresolved(err) || time.Now().After(end) {
+			return a, c.changeError(err, lost, q)
 		}
-		time.Sleep(settlePace)
+		time.Sleep(outcomeInterval)
 	}
 }
 
-// ended says what an error means for a change of which a try may have arrived. Another
-// daemon's refusal says nothing of that try, except a conflict: the daemon that made it has
-// read the log up to the change that stands in the way.
-func (c *client) ended(err error, lost bool, q operator.ChangeRequest) error {
-	var f failure
+// changeError returns the error of a change whose last attempt ended with err. If the
+// response to an attempt was lost, the outcome is unknown: another daemon's refusal says
+// nothing about that attempt. A conflict is the exception, since the daemon that reports it
+// has read the log up to the conflicting change.
+func (c *client) changeError(err error, lost bool, q operator.ChangeRequest) error {
+	var f commandError
 	if err == nil || !lost || errors.As(err, &f) && f.code == ExitConflict {
 		return err
 	}
-	return failure{ExitUnknown, fmt.Sprintf(
-		"outcome unknown: the answer was lost (%v)\nlook for change id %s in `gullvale settings log`", err, q.ID)}
+	return commandError{ExitUnknown, fmt.Sprintf(
+		"outcome unknown: the response was lost (%v)\nlook for change id %s in `gullvale settings log`", err, q.ID)}
 }
 
-// open tells whether an error leaves the outcome of an earlier try open.
-func open(err error) bool {
-	var l lostError
+// isUnresolved reports whether an error leaves the outcome of an earlier attempt unknown.
+func isUnresolved(err error) bool {
+	var l responseLostError
 	var d dialError
-	var p downError
+	var p platformError
 	return errors.As(err, &l) || errors.As(err, &d) || errors.As(err, &p)
 }
 
-// each tries the daemons in turn while they cannot be reached or lose answers.
-func (c *client) each(call func(address string) error) error {
+// tryDaemons calls the daemons in turn until one can be reached and its response is not
+// lost.
+func (c *client) tryDaemons(call func(address string) error) error {
 	var err error
 	for _, a := range c.addresses {
 		err = call(a)
-		var l lostError
+		var l responseLostError
 		var d dialError
 		if !errors.As(err, &d) && !errors.As(err, &l) {
 			return err
@@ -211,49 +217,49 @@
 	return err
 }
 
-func (c *client) call(ctx context.Context, method, address, path string, body []byte, answer any) error {
-	daemon := &storer.Client{Address: "http://" + address, Token: c.token, LongestTransfer: longestUpload}
+func (c *client) call(ctx context.Context, method, address, path string, body []byte, response any) error {
+	daemon := &storer.Client{Address: "http://" + address, Token: c.token, LongestTransfer: maxTransferTime}
 	q, err := daemon.Request(ctx, method, path, body)
 	if err != nil {
-		return failure{ExitInput, err.Error()}
+		return commandError{ExitInput, err.Error()}
 	}
-	p, data, err := daemon.Call(q, callTimeout)
+	p, data, err := daemon.Call(q, responseTimeout)
 	var dial *storer.DialError
 	switch {
 	case errors.As(err, &dial):
 		return dialError{err}
 	case p == nil:
-		return lostError{err}
+		return responseLostError{err}
 	case p.StatusCode == http.StatusOK:
-		return json.Unmarshal(data, answer)
+		return json.Unmarshal(data, response)
 	}
-	return explain(p.StatusCode, data)
+	return responseError(p.StatusCode, data)
 }
 
-// explain turns the answer to a call that failed into an error.
-func explain(status int, data []byte) error {
+// responseError converts the response to a failed call to an error.
+func responseError(status int, data []byte) error {
 	var e operator.ErrorAnswer
 	if err := json.Unmarshal(data, &e); err != nil || e.Failure == "" {
 		code := ExitFailed
 		if status < http.StatusInternalServerError {
 			code = ExitInput
 		}
-		return failure{code, fmt.Sprintf("status %d: %s", status, bytes.TrimSpace(data))}
+		return commandError{code, fmt.Sprintf("status %d: %s", status, bytes.TrimSpace(data))}
 	}
 	switch e.Failure {
 	case operator.FailureConflict:
-		return failure{ExitConflict, conflictText(e)}
+		return commandError{ExitConflict, conflictText(e)}
 	case operator.FailureUnsafe:
-		return failure{ExitInput, "refused, add --force to do it all the same:\n" + e.Problems.Error()}
+		return commandError{ExitInput, "refused, use --force to override:\n" + e.Problems.Error()}
 	case operator.FailureUnknown:
-		return lostError{errors.New(e.Text)}
+		return responseLostError{errors.New(e.Text)}
 	case operator.FailureUnreachable:
-		return downError{"not done: " + e.Text}
+		return platformError{"not done: " + e.Text}
 	}
 	if len(e.Problems) > 0 {
-		return failure{ExitInput, e.Problems.Error()}
+		return commandError{ExitInput, e.Problems.Error()}
 	}
-	return failure{ExitInput, e.Text}
+	return commandError{ExitInput, e.Text}
 }
 
 func conflictText(e operator.ErrorAnswer) string {
@@ -265,18 +271,18 @@
 	if t.Why != "" {
 		text += " (" + t.Why + ")"
 	}
-	for _, line := range editLines(t.Body) {
+	for _, line := range formatChange(t.Body) {
 		text += "\n  " + line
 	}
 	return text
 }
 
-// codeOf returns the exit code for an error.
-func codeOf(err error) int {
-	var f failure
+// exitCode returns the exit code for an error.
+func exitCode(err error) int {
+	var f commandError
 	var d dialError
-	var l lostError
-	var p downError
+	var l responseLostError
+	var p platformError
 	switch {
 	case err == nil:
 		return ExitDone
--- a/internal/process/commander/doc.go
+++ b/internal/process/commander/doc.go
@@ -1,3 +1,3 @@
-// Package commander is the operators' command line. Commands are short enough
-// for a phone's keyboard, and each ends with a plain outcome and an exit code.
+// Package commander implements the operators' command line. Commands are short enough to
+// type on a phone, and each reports its outcome as text and exit code.
 package commander
--- a/internal/process/commander/explain.go
+++ b/internal/process/commander/explain.go
@@ -9,29 +9,29 @@
 	"github.com/gullvale/gullvale/internal/process/explainer"
 )
 
-// explain tells how a request ended, from logs.
+// explain returns the command that explains from logs how a request ended.
 func (a *app) explain() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain ID [FILE...]",
-		Short: "Tell from the logs of all VMs how a request ended and why",
-		Long: `Tell from the logs of all VMs how a request ended and why.
+		Short: "Explain from the logs of all VMs how a request ended and why",
+		Long: `Explain from the logs of all VMs how a request ended and why.
 
-Each FILE holds lines of one VM or of several; without any, standard input is
-read. Text before the object of a line, such as a name that a collector put
-there, tells the VM.`,
+Each FILE holds log lines of one or several VMs. Without FILE, standard input
+is read. The last word before the JSON object of a line, such as a name added
+by a log collector, names the VM.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var l explainer.Log
 			if err := readLogs(&l, args[1:]); err != nil {
-				return failure{ExitInput, err.Error()}
+				return commandError{ExitInput, err.Error()}
 			}
-			tries := l.Explain(args[0])
-			if len(tries) == 0 {
-				return failure{ExitFailed, fmt.Sprintf("no line about request %s: it reached no VM whose log this is, or the VM ended before the request", args[0])}
+			explanations := l.Explain(args[0])
+			if len(explanations) == 0 {
+				return commandError{ExitFailed, fmt.Sprintf("no line about request %s: it reached none of the VMs in these logs, or the VM terminated before the request ended", args[0])}
 			}
-			return a.show(tries, func() {
-				for _, t := range tries {
-					t.Write(a.out)
+			return a.show(explanations, func() {
+				for _, e := range explanations {
+					e.Write(a.out)
 				}
 			})
 		},
--- a/internal/process/commander/export_test.go
+++ b/internal/process/commander/export_test.go
@@ -6,16 +6,16 @@
 	"github.com/gullvale/gullvale/internal/process/operator"
 )
 
-// PostBlocks sends a table of blocks to the daemon at an address.
+// PostBlocks uploads a table of client blocks to the daemon at address.
 func PostBlocks(ctx context.Context, address, name string, text []byte) error {
 	c := &client{addresses: []string{address}}
-	var answer struct{}
-	return c.postBlocks(ctx, name, text, &answer)
+	var response struct{}
+	return c.postBlocks(ctx, name, text, &response)
 }
 
-// Change asks the daemons at addresses for a change, and returns the exit code.
+// Change requests a change from the daemons at addresses and returns the exit code.
 func Change(ctx context.Context, addresses ...string) int {
 	c := &client{addresses: addresses}
 	_, err := c.change(ctx, operator.ChangeRequest{})
-	return codeOf(err)
+	return exitCode(err)
 }
--- a/internal/process/commander/lost_test.go
+++ b/internal/process/commander/lost_test.go
@@ -14,13 +14,14 @@
 	"github.com/gullvale/gullvale/pkg/recorder"
 )
 
-// TestRefusalElsewhereLeavesDoubt guards against a change called refused that the daemon
-// asked first has made, whose answer was lost: its operator would ask for it again.
+// TestRefusalElsewhereLeavesDoubt guards against a change that is reported as refused
+// although the first daemon made it and its response was lost. The operator would then
+// request it again.
 func TestRefusalElsewhereLeavesDoubt(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		status   int
-		answer   operator.ErrorAnswer
+		response operator.ErrorAnswer
 		exitCode int
 	}{
 		{"Unsafe", http.StatusUnprocessableEntity, operator.ErrorAnswer{Failure: operator.FailureUnsafe}, commander.ExitUnknown},
@@ -34,12 +35,12 @@
 				panic(http.ErrAbortHandler)
 			}))
 			defer lost.Close()
-			refuses := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			refusing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
-				_ = json.NewEncoder(w).Encode(c.answer)
+				_ = json.NewEncoder(w).Encode(c.response)
 			}))
-			defer refuses.Close()
-			first, second := lost.Listener.Addr().String(), refuses.Listener.Addr().String()
+			defer refusing.Close()
+			first, second := lost.Listener.Addr().String(), refusing.Listener.Addr().String()
 			is.Equal(commander.Change(context.Background(), first, second), c.exitCode)
 		})
 	}
--- a/internal/process/commander/organisations.go
+++ b/internal/process/commander/organisations.go
@@ -12,7 +12,7 @@
 	"github.com/gullvale/gullvale/internal/version/loader"
 )
 
-// organisations lists who may send requests by an entry's table.
+// organisations returns the command that lists the organisations of an entry's table.
 func (a *app) organisations() *cobra.Command {
 	return &cobra.Command{
 		Use:   "organisations FILE",
@@ -21,7 +21,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			t, problems := loader.ReadFile(args[0])
 			if len(problems) > 0 {
-				return failure{ExitInput, problems.Error()}
+				return commandError{ExitInput, problems.Error()}
 			}
 			return a.showOrganisations(t)
 		},
@@ -63,11 +63,11 @@
 	})
 }
 
-// key makes an API key, or the digest of one that there is.
+// key returns the command that creates an API key or computes the digest of a given one.
 func (a *app) key() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "key",
-		Short: "Make an API key, and its digest for an organisation's Keys",
+		Short: "Create an API key, and its digest for an organisation's Keys",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return a.showKey(rand.Text())
@@ -76,14 +76,14 @@
 	c.AddCommand(&cobra.Command{
 		Use:   "digest",
 		Short: "Read an API key from standard input and print its digest",
-		Long: `Read an API key from standard input and print its digest. The key is no
-argument, so that it is in no history of a shell and no list of processes.`,
+		Long: `Read an API key from standard input and print its digest. The key is not an
+argument, which would leave it in the shell history and the process list.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			line, _ := bufio.NewReader(c.InOrStdin()).ReadString('\n')
 			key, flaw := authenticator.Credential([]string{strings.TrimSpace(line)})
 			if flaw != authenticator.Sound {
-				return failure{ExitInput, "standard input: " + string(flaw)}
+				return commandError{ExitInput, "standard input: " + string(flaw)}
 			}
 			d := authenticator.DigestOf(key).String()
 			return a.show(struct{ Digest string }{d}, func() { a.printf("%s\n", d) })
@@ -95,6 +95,6 @@
 func (a *app) showKey(key string) error {
 	d := authenticator.DigestOf(key).String()
 	return a.show(struct{ Key, Digest string }{key, d}, func() {
-		a.printf("key, for the organisation alone: %s\nunder [Organisation.NAME] of the table: Keys = [%q]\n", key, d)
+		a.printf("key, for the organisation only: %s\nunder [Organisation.NAME] of the table: Keys = [%q]\n", key, d)
 	})
 }
--- a/internal/process/commander/quarantine.go
+++ b/internal/process/commander/quarantine.go
@@ -10,23 +10,23 @@
 	"github.com/gullvale/gullvale/internal/request/quarantiner"
 )
 
-// quarantine lists requests that crash upstreams, and lifts one.
+// quarantine returns the command that lists requests that crash upstreams and releases them.
 func (a *app) quarantine() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "quarantine",
-		Short: "List requests that are kept from upstreams since these end under them",
-		Long: `List requests that are kept from upstreams since these end under them, and
-those that may be such. A line of a log that names a fingerprint tells which
-request it is. On the users' platform the daemons to ask are those of the
-metrics address, such as GULLVALE_OPERATORS=10.1.0.10:9464.`,
+		Short: "List requests that are kept from upstreams because they crash them",
+		Long: `List requests that are kept from upstreams because they crash them, and
+requests that are suspected of it. Log lines with the fingerprint identify the
+request. On the users' platform, ask the metrics address, such as
+GULLVALE_OPERATORS=10.1.0.10:9464.`,
 		Args: cobra.NoArgs,
-		RunE: asking(a.listQuarantine),
+		RunE: withClient(a.listQuarantine),
 	}
 	c.AddCommand(&cobra.Command{
 		Use:   "lift FINGERPRINT",
-		Short: "Let a request through again, on all daemons",
+		Short: "Release a request from quarantine on all daemons",
 		Args:  cobra.ExactArgs(1),
-		RunE:  asking(a.lift),
+		RunE:  withClient(a.lift),
 	})
 	return c
 }
@@ -53,11 +53,11 @@
 func (a *app) lift(ctx context.Context, cl *client, args []string) error {
 	path := quarantiner.PathLift + "?" + url.Values{quarantiner.FieldFingerprint: args}.Encode()
 	var l quarantiner.Lifted
-	err := cl.each(func(address string) error {
+	err := cl.tryDaemons(func(address string) error {
 		return cl.call(ctx, http.MethodPost, address, path, nil, &l)
 	})
 	if err != nil {
 		return err
 	}
-	return a.show(l, func() { a.printf("%s is let through again\n", l.Fingerprint) })
+	return a.show(l, func() { a.printf("%s released from quarantine\n", l.Fingerprint) })
 }
--- a/internal/process/commander/root.go
+++ b/internal/process/commander/root.go
@@ -22,7 +22,7 @@
 	outputJSON = "json"
 )
 
-// app is what the commands share.
+// app holds the output settings that all commands share.
 type app struct {
 	output string
 	out    io.Writer
@@ -30,8 +30,8 @@
 
 // Run runs the command line and returns the exit code.
 func Run(args []string, out, errs io.Writer) int {
-	// go-zero would log failed calls to standard output, into the middle of
-	// JSON.
+	// Redirects the logger of go-zero, which would otherwise log failed calls to
+	// standard output and corrupt the JSON there.
 	logger.New(errs, logrus.ErrorLevel)
 	a := &app{out: out}
 	root := a.root()
@@ -40,9 +40,9 @@
 	root.SetErr(errs)
 	err := root.Execute()
 	if err != nil {
-		a.fail(errs, err)
+		a.printError(errs, err)
 	}
-	return codeOf(err)
+	return exitCode(err)
 }
 
 func (a *app) root() *cobra.Command {
@@ -53,19 +53,19 @@
 
 Paths name a place and a service: / is everything, michigan a region,
 michigan/a a failure domain, :keg-ledger a service, michigan:keg-ledger a
-service in a region. What is set nearer to a service goes before what is set
-further up; a drain counts from any level.
+service in a region. A value set closer to a service overrides values set
+further up; a drain applies from any level.
 
 Exit codes: 0 done, 1 failed, 2 bad input or refused, 3 somebody else was
 faster, 4 outcome unknown, 5 no daemon or no platform reached.
 
-Addresses and token come from ` + defaultFile + ` in the home directory
+Addresses and token come from ` + defaultConfigFile + ` in the home directory
 (Operators = ["ip:port"], Token = "..."), or from ` + EnvOperators + ` and ` + EnvToken + `.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
 			if a.output != outputText && a.output != outputJSON {
-				return failure{ExitInput, fmt.Sprintf("--output: %q is neither text nor json", a.output)}
+				return commandError{ExitInput, fmt.Sprintf("--output: %q is neither text nor json", a.output)}
 			}
 			return nil
 		},
@@ -76,19 +76,19 @@
 	return c
 }
 
-func (a *app) fail(errs io.Writer, err error) {
+func (a *app) printError(errs io.Writer, err error) {
 	if a.output == outputJSON {
 		_ = json.NewEncoder(errs).Encode(struct {
 			Error    string
 			ExitCode int
-		}{err.Error(), codeOf(err)})
+		}{err.Error(), exitCode(err)})
 		return
 	}
 	fmt.Fprintln(errs, err)
 }
 
-// asking makes a command that needs a daemon to ask.
-func asking(f func(ctx context.Context, cl *client, args []string) error) func(*cobra.Command, []string) error {
+// withClient returns the run function of a command that calls a daemon.
+func withClient(f func(ctx context.Context, cl *client, args []string) error) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, args []string) error {
 		cl, err := newClient()
 		if err != nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-// show prints an answer as JSON, or calls text.
+// show prints v as JSON, or calls text to print it as text.
 func (a *app) show(v any, text func()) error {
 	if a.output == outputJSON {
 		e := json.NewEncoder(a.out)
@@ -124,12 +124,13 @@
 	}
 }
 
-// token makes a token and what a daemon's settings hold of it.
+// token returns the command that creates an operator's token and its line for the daemons'
+// settings.
 func (a *app) token() *cobra.Command {
 	var role string
 	c := &cobra.Command{
 		Use:   "token WHO",
-		Short: "Make a token for an operator, and the line for the daemons' settings",
+		Short: "Create a token for an operator, and the line for the daemons' settings",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			token := string(operator.NewChangeID() + operator.NewChangeID())
@@ -143,7 +144,7 @@
 	return c
 }
 
-// blocks stores a table of client blocks.
+// blocks returns the command that stores tables of client blocks.
 func (a *app) blocks() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "blocks",
@@ -153,16 +154,16 @@
 		Use:   "load NAME FILE",
 		Short: "Store a table of lines `BLOCK REGION/DOMAIN`; put it in force with `settings set / BlockTable=NAME`",
 		Args:  cobra.ExactArgs(2),
-		RunE: asking(func(ctx context.Context, cl *client, args []string) error {
+		RunE: withClient(func(ctx context.Context, cl *client, args []string) error {
 			text, err := os.ReadFile(args[1])
 			if err != nil {
-				return failure{ExitInput, err.Error()}
+				return commandError{ExitInput, err.Error()}
 			}
-			var answer operator.BlocksAnswer
-			if err := cl.postBlocks(ctx, args[0], text, &answer); err != nil {
+			var response operator.BlocksAnswer
+			if err := cl.postBlocks(ctx, args[0], text, &response); err != nil {
 				return err
 			}
-			return a.show(answer, func() { a.printf("stored %d blocks as %s\n", answer.Blocks, answer.Name) })
+			return a.show(response, func() { a.printf("stored %d blocks as %s\n", response.Blocks, response.Name) })
 		}),
 	})
 	return c
--- a/internal/process/commander/settings.go
+++ b/internal/process/commander/settings.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// forceWait is how long a change is followed until it is in force
-	// everywhere.
-	forceWait = 10 * time.Second
-	forcePace = 100 * time.Millisecond
+	// inForceTimeout is how long a command waits for its change to be in force on all
+	// daemons.
+	inForceTimeout  = 10 * time.Second
+	inForceInterval = 100 * time.Millisecond
 )
 
-// changeFlags are the flags of every command that changes settings.
+// changeFlags are the flags of all commands that change settings.
 type changeFlags struct {
 	why    string
 	dryRun bool
@@ -37,9 +37,9 @@
 
 func (f *changeFlags) add(c *cobra.Command) {
 	c.Flags().StringVarP(&f.why, "why", "m", "", "reason, kept in the log")
-	c.Flags().BoolVarP(&f.dryRun, "dry-run", "n", false, "show what would happen, change nothing")
-	c.Flags().BoolVar(&f.force, "force", false, "do it although it would overload a place")
-	c.Flags().BoolVar(&f.noWait, "no-wait", false, "do not wait until it is in force everywhere")
+	c.Flags().BoolVarP(&f.dryRun, "dry-run", "n", false, "show the effect without changing anything")
+	c.Flags().BoolVar(&f.force, "force", false, "make the change even if it would overload a site")
+	c.Flags().BoolVar(&f.noWait, "no-wait", false, "do not wait until the change is in force everywhere")
 }
 
 func (a *app) settings() *cobra.Command {
@@ -54,19 +54,19 @@
 }
 
 func (a *app) settingsShow() *cobra.Command {
-	var whole bool
+	var asTOML bool
 	c := &cobra.Command{
 		Use:   "show [PATH]",
 		Short: "Show the values in force at a path and the level each comes from",
 		Args:  cobra.MaximumNArgs(1),
-		RunE: asking(func(ctx context.Context, cl *client, args []string) error {
-			if whole {
+		RunE: withClient(func(ctx context.Context, cl *client, args []string) error {
+			if asTOML {
 				return a.showTOML(ctx, cl)
 			}
 			return a.showPath(ctx, cl, strings.Join(args, ""))
 		}),
 	}
-	c.Flags().BoolVar(&whole, "toml", false, "print the whole tree as TOML, for `settings apply`")
+	c.Flags().BoolVar(&asTOML, "toml", false, "print the whole tree as TOML, for `settings apply`")
 	return c
 }
 
@@ -90,24 +90,24 @@
 			if v.Own {
 				mark = "*"
 			}
-			a.printf("%s %-20s %-24s %s\n", mark, v.Key, short(string(v.Value)), v.From)
+			a.printf("%s %-20s %-24s %s\n", mark, v.Key, abbreviate(string(v.Value)), v.From)
 		}
 		if len(s.Beneath) > 0 {
-			a.printf("set beneath:\n")
+			a.printf("set below:\n")
 		}
 		for _, e := range s.Beneath {
-			a.printf("  %s %s = %s\n", e.Path, e.Key, short(string(e.Value)))
+			a.printf("  %s %s = %s\n", e.Path, e.Key, abbreviate(string(e.Value)))
 		}
 	})
 }
 
-// short cuts long values, such as lists of upstreams, for a narrow screen.
-func short(s string) string {
-	const most = 40
-	if len(s) <= most {
+// abbreviate shortens long values, such as lists of upstreams, for narrow screens.
+func abbreviate(s string) string {
+	const maxLength = 40
+	if len(s) <= maxLength {
 		return s
 	}
-	return fmt.Sprintf("%s… (%d in all)", s[:most-12], strings.Count(s, ",")+1)
+	return fmt.Sprintf("%s… (%d in all)", s[:maxLength-12], strings.Count(s, ",")+1)
 }
 
 func (a *app) settingsSet() *cobra.Command {
@@ -122,7 +122,7 @@
 			for _, kv := range args[1:] {
 				k, v, ok := strings.Cut(kv, "=")
 				if !ok {
-					return failure{ExitInput, fmt.Sprintf("%q is not KEY=VALUE", kv)}
+					return commandError{ExitInput, fmt.Sprintf("%q is not KEY=VALUE", kv)}
 				}
 				edits = append(edits, resolver.Edit{Path: args[0], Key: resolver.Key(k), Value: resolver.Value(v)})
 			}
@@ -137,17 +137,17 @@
 	var f changeFlags
 	c := &cobra.Command{
 		Use:   "unset PATH KEY...",
-		Short: "Take values away, so that those from further up count",
+		Short: "Remove values, so that those from further up apply",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			return a.change(c.Context(), f, operator.ChangeRequest{Edits: unset(args[0], args[1:]...)})
+			return a.change(c.Context(), f, operator.ChangeRequest{Edits: unsetEdits(args[0], args[1:]...)})
 		},
 	}
 	f.add(c)
 	return c
 }
 
-func unset(path string, keys ...string) []resolver.Edit {
+func unsetEdits(path string, keys ...string) []resolver.Edit {
 	var edits []resolver.Edit
 	for _, k := range keys {
 		edits = append(edits, resolver.Edit{Path: path, Key: resolver.Key(k), Unset: true})
@@ -159,12 +159,12 @@
 	var f changeFlags
 	c := &cobra.Command{
 		Use:   "apply FILE",
-		Short: "Make the tree be exactly what a TOML file says",
+		Short: "Replace the tree of settings with that of a TOML file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			text, problems := checkFile(args[0])
 			if len(problems) > 0 {
-				return failure{ExitInput, problems.Error()}
+				return commandError{ExitInput, problems.Error()}
 			}
 			return a.change(c.Context(), f, operator.ChangeRequest{TOML: text, File: args[0]})
 		},
@@ -176,11 +176,11 @@
 func (a *app) settingsCheck() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a TOML file of the tree without asking any daemon",
+		Short: "Check a TOML file of the tree without contacting a daemon",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if _, problems := checkFile(args[0]); len(problems) > 0 {
-				return failure{ExitInput, problems.Error()}
+				return commandError{ExitInput, problems.Error()}
 			}
 			return a.show(struct{ File, Result string }{args[0], "ok"}, func() { a.printf("%s: ok\n", args[0]) })
 		},
@@ -214,19 +214,19 @@
 }
 
 func (a *app) settingsLog() *cobra.Command {
-	var most int
+	var last int
 	c := &cobra.Command{
 		Use:   "log",
 		Short: "Show the last changes: number, who, when, what, why",
 		Args:  cobra.NoArgs,
-		RunE: asking(func(ctx context.Context, cl *client, _ []string) error {
+		RunE: withClient(func(ctx context.Context, cl *client, _ []string) error {
 			var now operator.SettingsAnswer
 			if err := cl.get(ctx, operator.PathSettings, &now); err != nil {
 				return err
 			}
 			after := uint64(0)
-			if n := uint64(now.Number); n > uint64(most) {
-				after = n - uint64(most)
+			if n := uint64(now.Number); n > uint64(last) {
+				after = n - uint64(last)
 			}
 			var l operator.LogAnswer
 			if err := cl.get(ctx, operator.PathLog+"?After="+strconv.FormatUint(after, 10), &l); err != nil {
@@ -235,7 +235,7 @@
 			return a.show(l, func() { a.printLog(l.Changes) })
 		}),
 	}
-	c.Flags().IntVarP(&most, "last", "l", 20, "how many changes")
+	c.Flags().IntVarP(&last, "last", "l", 20, "how many changes")
 	return c
 }
 
@@ -249,29 +249,30 @@
 			a.printf("  %q", x.Why)
 		}
 		a.printf("\n")
-		for _, line := range editLines(x.Body) {
+		for _, line := range formatChange(x.Body) {
 			a.printf("    %s\n", line)
 		}
 	}
 }
 
-// editLines prints what the body of a change does, a setting a line.
-func editLines(body json.RawMessage) []string {
+// formatChange returns the edits in the body of a change, one line per setting, or nil if
+// the body cannot be decoded.
+func formatChange(body json.RawMessage) []string {
 	var c applier.Content
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil
 	}
-	return linesOf(c.Edits)
+	return formatEdits(c.Edits)
 }
 
-func linesOf(edits []resolver.Edit) []string {
+func formatEdits(edits []resolver.Edit) []string {
 	var out []string
 	for _, e := range edits {
 		if e.Unset {
 			out = append(out, fmt.Sprintf("%s %s unset", e.Path, e.Key))
 			continue
 		}
-		out = append(out, fmt.Sprintf("%s %s = %s", e.Path, e.Key, short(string(e.Value))))
+		out = append(out, fmt.Sprintf("%s %s = %s", e.Path, e.Key, abbreviate(string(e.Value))))
 	}
 	return out
 }
@@ -280,12 +281,12 @@
 	var f changeFlags
 	c := &cobra.Command{
 		Use:   "undo NUMBER",
-		Short: "Take a change back",
+		Short: "Undo a change",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			n, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil || n == 0 {
-				return failure{ExitInput, fmt.Sprintf("%q is not the number of a change", args[0])}
+				return commandError{ExitInput, fmt.Sprintf("%q is not a change number", args[0])}
 			}
 			return a.change(c.Context(), f, operator.ChangeRequest{Undo: recorder.Number(n)})
 		},
@@ -294,7 +295,7 @@
 	return c
 }
 
-// change asks for a change and follows it until it is in force everywhere.
+// change makes a change, waits until it is in force on all daemons and prints the result.
 func (a *app) change(ctx context.Context, f changeFlags, q operator.ChangeRequest) error {
 	cl, err := newClient()
 	if err != nil {
@@ -304,19 +305,19 @@
 	q.DryRun = f.dryRun
 	q.Force = f.force
 	began := time.Now()
-	answer, err := cl.change(ctx, q)
+	response, err := cl.change(ctx, q)
 	if err != nil {
 		return err
 	}
-	result := changeResult{ChangeAnswer: answer}
-	if !answer.DryRun && !f.noWait {
-		result.InForce, result.Members = cl.follow(ctx, answer.Number)
+	result := changeResult{ChangeAnswer: response}
+	if !response.DryRun && !f.noWait {
+		result.InForce, result.Members = cl.awaitInForce(ctx, response.Number)
 		result.AfterMillis = time.Since(began).Milliseconds()
 	}
 	return a.show(result, func() { a.printChange(result) })
 }
 
-// changeResult is what a command that changes settings prints as JSON.
+// changeResult is the JSON output of commands that change settings.
 type changeResult struct {
 	operator.ChangeAnswer
 	InForce     int
@@ -325,7 +326,7 @@
 }
 
 func (a *app) printChange(r changeResult) {
-	for _, line := range linesOf(r.Edits) {
+	for _, line := range formatEdits(r.Edits) {
 		a.printf("  %s\n", line)
 	}
 	for _, w := range r.Warnings {
@@ -345,10 +346,10 @@
 	a.printf("\n")
 }
 
-// follow waits until a number is in force on all daemons, and returns how many
-// have it when it stops waiting.
-func (c *client) follow(ctx context.Context, n recorder.Number) (inForce, members int) {
-	end := time.Now().Add(forceWait)
+// awaitInForce waits up to inForceTimeout until change n is in force on all daemons, and
+// returns on how many of the members it is.
+func (c *client) awaitInForce(ctx context.Context, n recorder.Number) (inForce, members int) {
+	end := time.Now().Add(inForceTimeout)
 	for {
 		var f operator.InForceAnswer
 		err := c.get(ctx, fmt.Sprintf("%s?Number=%d", operator.PathInForce, n), &f)
@@ -361,12 +362,12 @@
 		if time.Now().After(end) {
 			return inForce, members
 		}
-		time.Sleep(forcePace)
+		time.Sleep(inForceInterval)
 	}
 }
 
-func (c *client) postBlocks(ctx context.Context, name string, text []byte, answer any) error {
-	return c.each(func(address string) error {
-		return c.call(ctx, http.MethodPost, address, operator.PathBlocks+"?Name="+url.QueryEscape(name), text, answer)
+func (c *client) postBlocks(ctx context.Context, name string, text []byte, response any) error {
+	return c.tryDaemons(func(address string) error {
+		return c.call(ctx, http.MethodPost, address, operator.PathBlocks+"?Name="+url.QueryEscape(name), text, response)
 	})
 }
--- a/internal/process/commander/steer.go
+++ b/internal/process/commander/steer.go
@@ -14,11 +14,11 @@
 	"github.com/gullvale/gullvale/internal/version/steerer"
 )
 
-const watchPace = time.Second
+const watchInterval = time.Second
 
 func (a *app) drain() *cobra.Command {
 	var f changeFlags
-	var length time.Duration
+	var duration time.Duration
 	c := &cobra.Command{
 		Use:     "drain PATH",
 		Short:   "Move all traffic away from a region, a failure domain or a service there",
@@ -26,16 +26,16 @@
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			edits := []resolver.Edit{{Path: args[0], Key: resolver.KeyDrain, Value: "true"}}
-			if length > 0 {
-				until := time.Now().Add(length).UTC().Format(time.RFC3339)
+			if duration > 0 {
+				until := time.Now().Add(duration).UTC().Format(time.RFC3339)
 				edits = append(edits, resolver.Edit{Path: args[0], Key: resolver.KeyDrainUntil, Value: resolver.Value(until)})
 			} else {
-				edits = append(edits, unset(args[0], string(resolver.KeyDrainUntil))...)
+				edits = append(edits, unsetEdits(args[0], string(resolver.KeyDrainUntil))...)
 			}
 			return a.change(c.Context(), f, operator.ChangeRequest{Edits: edits})
 		},
 	}
-	c.Flags().DurationVar(&length, "for", 0, "end the drain by itself after this time")
+	c.Flags().DurationVar(&duration, "for", 0, "end the drain automatically after this time")
 	f.add(c)
 	return c
 }
@@ -47,7 +47,7 @@
 		Short: "End a drain",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			edits := unset(args[0], string(resolver.KeyDrainUntil), string(resolver.KeyDrain))
+			edits := unsetEdits(args[0], string(resolver.KeyDrainUntil), string(resolver.KeyDrain))
 			return a.change(c.Context(), f, operator.ChangeRequest{Edits: edits})
 		},
 	}
@@ -57,7 +57,7 @@
 
 func (a *app) shift() *cobra.Command {
 	var f changeFlags
-	var from, to, share, limit string
+	var from, to, share, shiftCap string
 	c := &cobra.Command{
 		Use:     "shift SERVICE --from REGION --to REGION --share 30% --cap 5%/min",
 		Short:   "Move a part of a service's traffic between regions, no faster than a cap",
@@ -68,15 +68,15 @@
 			edits := []resolver.Edit{
 				{Path: path, Key: resolver.KeyShiftTo, Value: resolver.Value(to)},
 				{Path: path, Key: resolver.KeyShiftShare, Value: resolver.Value(share)},
-				{Path: path, Key: resolver.KeyShiftCap, Value: resolver.Value(limit)},
+				{Path: path, Key: resolver.KeyShiftCap, Value: resolver.Value(shiftCap)},
 			}
 			return a.change(c.Context(), f, operator.ChangeRequest{Edits: edits})
 		},
 	}
-	c.Flags().StringVar(&from, "from", "", "region that gives traffic (required)")
-	c.Flags().StringVar(&to, "to", "", "region that takes it (required)")
+	c.Flags().StringVar(&from, "from", "", "region to move traffic from (required)")
+	c.Flags().StringVar(&to, "to", "", "region to move traffic to (required)")
 	c.Flags().StringVar(&share, "share", "", "part of the traffic of --from, such as 30% (required)")
-	c.Flags().StringVar(&limit, "cap", "", "how fast, such as 5%/min (required)")
+	c.Flags().StringVar(&shiftCap, "cap", "", "maximum rate of the shift, such as 5%/min (required)")
 	for _, n := range []string{"from", "to", "share", "cap"} {
 		_ = c.MarkFlagRequired(n)
 	}
@@ -92,11 +92,11 @@
 		Short: "End a shift; the traffic goes back",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			edits := unset(from+":"+args[0], string(resolver.KeyShiftTo), string(resolver.KeyShiftShare), string(resolver.KeyShiftCap))
+			edits := unsetEdits(from+":"+args[0], string(resolver.KeyShiftTo), string(resolver.KeyShiftShare), string(resolver.KeyShiftCap))
 			return a.change(c.Context(), f, operator.ChangeRequest{Edits: edits})
 		},
 	}
-	c.Flags().StringVar(&from, "from", "", "region that gave traffic (required)")
+	c.Flags().StringVar(&from, "from", "", "region that traffic was moved from (required)")
 	_ = c.MarkFlagRequired("from")
 	f.add(c)
 	return c
@@ -107,9 +107,9 @@
 	c := &cobra.Command{
 		Use:     "status",
 		Aliases: []string{"st"},
-		Short:   "Show the fleet: settings in force, use of slots, drains, shifts, what waits",
+		Short:   "Show the fleet: settings in force, use of slots, drains, shifts, held moves",
 		Args:    cobra.NoArgs,
-		RunE: asking(func(ctx context.Context, cl *client, _ []string) error {
+		RunE: withClient(func(ctx context.Context, cl *client, _ []string) error {
 			for {
 				var s operator.Status
 				if err := cl.get(ctx, operator.PathStatus, &s); err != nil {
@@ -127,22 +127,22 @@
 				select {
 				case <-ctx.Done():
 					return nil
-				case <-time.After(watchPace):
+				case <-time.After(watchInterval):
 				}
 			}
 		}),
 	}
-	c.Flags().BoolVarP(&watch, "watch", "w", false, "show it again every second")
+	c.Flags().BoolVarP(&watch, "watch", "w", false, "refresh every second")
 	return c
 }
 
 func (a *app) printStatus(s operator.Status) {
 	a.printf("settings %d in force on %d of %d, plan %d\n", s.Settings, s.InForce, s.Members, s.Plan)
 	if !s.Platform && !s.LeadReached {
-		a.printf("CUT OFF: %s reaches neither platform nor lead and goes on with what it has\n", s.Daemon)
+		a.printf("CUT OFF: %s reaches neither platform nor leader and continues with its last known state\n", s.Daemon)
 	}
 	if !s.Platform {
-		a.printf("PLATFORM NOT REACHED: what follows is what %s last knew; no change can be made\n", s.Daemon)
+		a.printf("PLATFORM NOT REACHED: the following is the last known state of %s; no change can be made\n", s.Daemon)
 	}
 	for _, r := range s.Regions {
 		a.printf("%s: %d daemons", r.Region, r.Members)
@@ -154,7 +154,7 @@
 			a.printf("  %-16s %4d of %4d slots (%3.0f%%), limit %.0f", v.Service, v.Busy, v.Slots,
 				percent(float64(v.Busy), float64(v.Slots)), v.Limit)
 			if v.Waiting > 0 {
-				a.printf(", %d wait", v.Waiting)
+				a.printf(", %d waiting", v.Waiting)
 			}
 			a.printf("\n")
 		}
@@ -173,7 +173,8 @@
 	}
 }
 
-// printOutlook prints what is free, and the losses that the rest cannot carry.
+// printOutlook prints the headroom, and the losses of domains or regions whose load the
+// remaining sites could not carry.
 func (a *app) printOutlook(o operator.Outlook) {
 	for _, h := range o.Headroom {
 		a.printf("headroom %s %s: %.0f%%", h.Region, h.Service, 100*h.Now)
@@ -210,19 +211,19 @@
 		Use:   "lookup SERVICE [BLOCK]",
 		Short: "Show which entries a caller in a client block is told to use",
 		Args:  cobra.RangeArgs(1, 2),
-		RunE: asking(func(ctx context.Context, cl *client, args []string) error {
+		RunE: withClient(func(ctx context.Context, cl *client, args []string) error {
 			v := url.Values{"Service": {args[0]}}
 			if len(args) > 1 {
 				v.Set("Block", args[1])
 			}
-			var answer steerer.Answer
-			if err := cl.get(ctx, operator.PathLookup+"?"+v.Encode(), &answer); err != nil {
+			var response steerer.Answer
+			if err := cl.get(ctx, operator.PathLookup+"?"+v.Encode(), &response); err != nil {
 				return err
 			}
-			return a.show(answer, func() {
-				a.printf("%s at %s, settings %d, plan %d, for %s\n", answer.Service, answer.Site,
-					answer.Settings, answer.Plan, answer.LifetimeMillis)
-				for _, e := range answer.Entries {
+			return a.show(response, func() {
+				a.printf("%s at %s, settings %d, plan %d, for %s\n", response.Service, response.Site,
+					response.Settings, response.Plan, response.LifetimeMillis)
+				for _, e := range response.Entries {
 					a.printf("  %s\n", e.Address)
 				}
 			})
@@ -238,24 +239,24 @@
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if o.Length < demonstrator.ShortestRun {
-				return failure{ExitInput, fmt.Sprintf("--for: at least %s", demonstrator.ShortestRun)}
+				return commandError{ExitInput, fmt.Sprintf("--for: at least %s", demonstrator.ShortestRun)}
 			}
 			r, err := demonstrator.Run(c.Context(), o)
 			if err != nil {
-				return failure{ExitFailed, err.Error()}
+				return commandError{ExitFailed, err.Error()}
 			}
 			if err := a.show(r, func() { r.Print(a.out) }); err != nil {
 				return err
 			}
 			if r.Broken() {
-				return failure{ExitFailed, "a promise was broken"}
+				return commandError{ExitFailed, "an invariant was broken"}
 			}
 			return nil
 		},
 	}
-	c.Flags().DurationVar(&o.Length, "for", 20*time.Second, "how long the load lasts")
+	c.Flags().DurationVar(&o.Length, "for", 20*time.Second, "duration of the load")
 	c.Flags().StringVar(&o.Shape, "shape", demonstrator.ShapeKegloop, "kegloop or athath")
-	c.Flags().Float64Var(&o.Load, "load", 0.6, "load, as a part of all slots")
+	c.Flags().Float64Var(&o.Load, "load", 0.6, "load, as a fraction of all slots")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the load")
 	return c
 }
--- a/internal/process/commander/upload_test.go
+++ b/internal/process/commander/upload_test.go
@@ -15,8 +15,8 @@
 	"github.com/gullvale/gullvale/internal/process/commander"
 )
 
-// TestLargeTableOverANarrowLink sends a table for which the path takes longer than a daemon
-// has to answer a call: with a limit on the whole, the upload ended after 5 s, each time.
+// TestLargeTableOverANarrowLink guards against a timeout on the whole call: an upload that
+// takes longer than the time to respond would then always fail after 5 s.
 func TestLargeTableOverANarrowLink(t *testing.T) {
 	is := is.New(t)
 	const (
@@ -36,7 +36,7 @@
 		_, _ = io.WriteString(w, "{}")
 	}))
 	s.Config.ConnState = func(c net.Conn, _ http.ConnState) {
-		// What the kernel buffers would hide the narrow link.
+		// Larger kernel buffers would hide the narrow link.
 		if c, ok := c.(*net.TCPConn); ok {
 			_ = c.SetReadBuffer(64 << 10)
 		}
