--- a/internal/connection/linker/announce.go
+++ b/internal/connection/linker/announce.go
@@ -78,7 +78,7 @@
 func (s *Session) announcementCurrent(k pooler.Key, free, slots int) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	announced, ok := s.announcedFree[k]
-	change := max(free-announced, announced-free)
-	return ok && (announced > 0) == (free > 0) && change <= max(slots/minChangeDivisor, 1)
+	announcedFree, ok := s.announcedFree[k]
+	change := max(free-announcedFree, announcedFree-free)
+	return ok && (announcedFree > 0) == (free > 0) && change <= max(slots/minChangeDivisor, 1)
 }
--- a/internal/connection/linker/manager.go
+++ b/internal/connection/linker/manager.go
@@ -77,7 +77,7 @@
 }
 
 func (m *Manager) runAccepted(ctx context.Context, conn net.Conn) {
-	s, err := acceptSession(m.newConn(conn, acceptedReadTimeout), m.Self())
+	s, err := acceptSession(m.linkConn(conn, acceptedReadTimeout), m.Self())
 	if err != nil {
 		return
 	}
@@ -218,7 +218,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	s, err := openSession(m.newConn(conn, 0), m.Self())
+	s, err := openSession(m.linkConn(conn, 0), m.Self())
 	if err != nil {
 		conn.Close()
 		return err
@@ -245,7 +245,7 @@
 	}
 }
 
-func (m *Manager) newConn(c net.Conn, readTimeout timekeeper.Millis) *linkConn {
+func (m *Manager) linkConn(c net.Conn, readTimeout timekeeper.Millis) *linkConn {
 	return newLinkConn(c, m.Clock, &m.counters, readTimeout)
 }
 
--- a/internal/connection/linker/ping.go
+++ b/internal/connection/linker/ping.go
@@ -39,8 +39,8 @@
 // over a link that drops the other direction, and an entry that counted them sent 200
 // requests in four seconds over such a link and lost them all.
 func (s *Session) responsive(now timekeeper.Millis) bool {
-	sent := timekeeper.Millis(s.pingSent.Load())
-	return sent == 0 || s.lastReplyTime() > sent || now-sent < pingTimeout
+	pingSent := timekeeper.Millis(s.pingSent.Load())
+	return pingSent == 0 || s.lastReplyTime() > pingSent || now-pingSent < pingTimeout
 }
 
 // recordReply records that the remote end replied to something sent from here.
@@ -93,7 +93,7 @@
 	case now-p.lastUseTime() < activeLinkWindow:
 		return sinceReply >= p.manager.activePingInterval()
 	}
-	return now-s.conn.lastReadTime() >= idlePingInterval
+	return now-s.linkConn.lastReadTime() >= idlePingInterval
 }
 
 // activePingInterval returns the time between two pings of a link in use without pending
--- a/internal/connection/linker/session.go
+++ b/internal/connection/linker/session.go
@@ -47,12 +47,12 @@
 
 	// Session is one live connection to another daemon.
 	Session struct {
-		remote  registrar.Member
-		conn    *linkConn
-		mux     *yamux.Session
-		control net.Conn
-		writer  *framer.Writer
-		reader  *framer.Reader
+		remote   registrar.Member
+		linkConn *linkConn
+		mux      *yamux.Session
+		control  net.Conn
+		writer   *framer.Writer
+		reader   *framer.Reader
 		// lastDirectRequest is when the last request for an upstream owned here
 		// arrived, 0 for none.
 		lastDirectRequest atomic.Int64
@@ -132,7 +132,7 @@
 
 func newSession(w *linkConn, mux *yamux.Session, stream net.Conn) *Session {
 	c := countingConn{stream, w.counters}
-	s := &Session{conn: w, mux: mux, control: c, writer: framer.NewWriter(c), reader: framer.NewReader(c)}
+	s := &Session{linkConn: w, mux: mux, control: c, writer: framer.NewWriter(c), reader: framer.NewReader(c)}
 	s.recordReply(w.lastReadTime())
 	return s
 }
