--- a/internal/connection/framer/frame.go
+++ b/internal/connection/framer/frame.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// ProtocolVersion is the version that Hello carries.
+	// ProtocolVersion is the protocol version sent in Hello.
 	ProtocolVersion = 2
 
-	// MaxFrameBytes bounds what a frame may hold: a platform object and its
-	// envelope.
+	// MaxFrameBytes is the largest length of a frame without its header. It has room
+	// for a platform object and its envelope.
 	MaxFrameBytes = 1<<20 + 1<<16
 
-	// ChunkBytes is the usual size of a piece of a body.
+	// ChunkBytes is the usual size of a chunk of a body.
 	ChunkBytes = 32 << 10
 
-	headBytes = 5
+	headerBytes = 5
 
-	// readBytes is the read-ahead of a stream. Longer frames bypass it.
-	readBytes = 4 << 10
+	// readBufferBytes is the size of the read buffer of a stream. Longer frames bypass
+	// it.
+	readBufferBytes = 4 << 10
 )
 
 // The kinds of frames.
@@ -45,27 +46,27 @@
 	KindSuspects
 )
 
-// ErrTooLong reports a frame beyond MaxFrameBytes.
+// ErrTooLong is returned for a frame longer than MaxFrameBytes.
 var ErrTooLong = eris.New("frame too long")
 
 type (
-	// Kind tells what a frame holds.
+	// Kind identifies the content of a frame.
 	Kind uint8
 
-	// Frame is one frame as read. Body is valid until the next read.
+	// Frame is a frame read from a stream. Body is valid until the next read.
 	Frame struct {
 		Kind Kind
 		Body []byte
 	}
 
-	// Reader reads frames. It is for one goroutine.
+	// Reader reads frames. It is not safe for concurrent use.
 	Reader struct {
 		source *bufio.Reader
 		buffer []byte
-		head   [headBytes]byte
+		header [headerBytes]byte
 	}
 
-	// Writer writes frames, each in one write. It is safe for concurrent use.
+	// Writer writes each frame with a single Write call. It is safe for concurrent use.
 	Writer struct {
 		lock   sync.Mutex
 		sink   io.Writer
@@ -73,48 +74,49 @@
 	}
 )
 
-// NewReader reads frames from r.
+// NewReader returns a Reader that reads frames from r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{source: bufio.NewReaderSize(r, readBytes)}
+	return &Reader{source: bufio.NewReaderSize(r, readBufferBytes)}
 }
 
-// NewWriter writes frames to w.
+// NewWriter returns a Writer that writes frames to w.
 func NewWriter(w io.Writer) *Writer {
 	return &Writer{sink: w}
 }
 
-// Read returns the next frame.
+// Read returns the next frame. It returns io.EOF at the end of the stream,
+// io.ErrUnexpectedEOF for a truncated frame and ErrTooLong for one that is too long.
 func (r *Reader) Read() (Frame, error) {
-	if _, err := io.ReadFull(r.source, r.head[:]); err != nil {
+	if _, err := io.ReadFull(r.source, r.header[:]); err != nil {
 		return Frame{}, err
 	}
-	n := int(binary.BigEndian.Uint32(r.head[1:]))
+	n := int(binary.BigEndian.Uint32(r.header[1:]))
 	if n > MaxFrameBytes {
 		return Frame{}, ErrTooLong
 	}
 	if cap(r.buffer) < n {
-		r.buffer = make([]byte, max(n, readBytes))
+		r.buffer = make([]byte, max(n, readBufferBytes))
 	}
 	b := r.buffer[:n]
 	if _, err := io.ReadFull(r.source, b); err != nil {
-		return Frame{}, noEOF(err)
+		return Frame{}, unexpectedEOF(err)
 	}
-	return Frame{Kind: Kind(r.head[0]), Body: b}, nil
+	return Frame{Kind: Kind(r.header[0]), Body: b}, nil
 }
 
-// Decode reads the message of a frame.
+// Decode unmarshals the body of a frame into m.
 func (f Frame) Decode(m proto.Message) error {
-	return eris.Wrapf(proto.Unmarshal(f.Body, m), "frame of kind %d", f.Kind)
+	return eris.Wrapf(proto.Unmarshal(f.Body, m), "decode frame of kind %d", f.Kind)
 }
 
 // Message writes m as a frame of kind k.
 func (w *Writer) Message(k Kind, m proto.Message) error {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	b := append(w.buffer[:0], make([]byte, headBytes)...)
+	b := append(w.buffer[:0], make([]byte, headerBytes)...)
 	b, err := proto.MarshalOptions{}.MarshalAppend(b, m)
 	if err != nil {
-		return eris.Wrapf(err, "frame of kind %d", k)
+		return eris.Wrapf(err, "encode frame of kind %d", k)
 	}
 	return w.flush(k, b)
 }
@@ -123,12 +125,12 @@
 func (w *Writer) Bytes(k Kind, p []byte) error {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	b := append(w.buffer[:0], make([]byte, headBytes)...)
+	b := append(w.buffer[:0], make([]byte, headerBytes)...)
 	return w.flush(k, append(b, p...))
 }
 
 func (w *Writer) flush(k Kind, b []byte) error {
-	n := len(b) - headBytes
+	n := len(b) - headerBytes
 	if n > MaxFrameBytes {
 		return ErrTooLong
 	}
@@ -141,7 +143,7 @@
 	return err
 }
 
-func noEOF(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/connection/framer/frame_test.go
+++ b/internal/connection/framer/frame_test.go
@@ -37,7 +37,7 @@
 	is.Equal(err, io.EOF)
 }
 
-// FuzzRead reads arbitrary bytes as frames and decodes each as every message.
+// FuzzRead reads arbitrary bytes as frames and decodes each as several message types.
 func FuzzRead(f *testing.F) {
 	var b bytes.Buffer
 	w := framer.NewWriter(&b)
@@ -54,7 +54,7 @@
 				return
 			}
 			if len(fr.Body) > len(data) {
-				t.Fatal("more than was there")
+				t.Fatal("frame is longer than the input")
 			}
 			for _, m := range []proto.Message{&framer.Hello{}, &framer.Heartbeat{}, &framer.Request{}, &framer.Objects{}, &framer.End{}} {
 				_ = fr.Decode(m)
@@ -63,8 +63,8 @@
 	})
 }
 
-// BenchmarkHeartbeat tells how heartbeats grow with the pools of a member and the
-// origins of their requests.
+// BenchmarkHeartbeat measures the encoding and the size of heartbeats by the number of
+// pools, each with requests from three origins.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{0, 2, 5, 10} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/connection/pacer/pace.go
+++ b/internal/connection/pacer/pace.go
@@ -1,5 +1,5 @@
-// Package pacer spaces out what exports send over links with limits, so that short
-// answers find room between them.
+// Package pacer limits the rate at which exports are sent over links of limited
+// bandwidth, so that short responses are not delayed behind them.
 package pacer
 
 import (
@@ -13,50 +13,51 @@
 )
 
 const (
-	// leastRate keeps an export going whatever its share of a link comes to, in
-	// bytes a second.
-	leastRate = 32 << 10
+	// minBytesPerSecond is the lowest rate of a destination, so that an export makes
+	// progress even if its share of a link is tiny.
+	minBytesPerSecond = 32 << 10
 
-	// burst is how much may go at once, in bytes: what yamux sends before the
-	// other end has to answer would fill a slow link anyhow.
-	burst = 64 << 10
+	// burstBytes is how much may be sent at once. A smaller burst would not help: what
+	// yamux sends before it needs an acknowledgement fills a slow link anyway.
+	burstBytes = 64 << 10
 )
 
-// Pacer holds the pace towards each of several places. The zero value is ready.
+// Pacer limits the send rate to each of several destinations. The zero value is ready to
+// use.
 type Pacer struct {
 	Clock timekeeper.Clock
-	// Sleep waits; nil means by the time of the system.
+	// Sleep blocks for d or until ctx is done. Nil means the system timer.
 	Sleep func(ctx context.Context, d time.Duration) error
 
 	lock     sync.Mutex
 	limiters map[string]*rate.Limiter
 }
 
-// Wait returns when n bytes more may go to a place, at bytesPerSecond for all that
-// goes there. It ends with ctx.
-func (p *Pacer) Wait(ctx context.Context, place string, bytesPerSecond int64, n int) error {
+// Wait blocks until n more bytes may be sent to a destination. bytesPerSecond is the total
+// rate of that destination. Wait returns the error of ctx when ctx is done.
+func (p *Pacer) Wait(ctx context.Context, destination string, bytesPerSecond int64, n int) error {
 	for n > 0 {
-		part := min(n, burst)
-		if err := p.sleep(ctx, p.reserve(place, bytesPerSecond, part)); err != nil {
+		chunk := min(n, burstBytes)
+		if err := p.sleep(ctx, p.reserve(destination, bytesPerSecond, chunk)); err != nil {
 			return err
 		}
-		n -= part
+		n -= chunk
 	}
 	return nil
 }
 
-func (p *Pacer) reserve(place string, bytesPerSecond int64, n int) time.Duration {
+func (p *Pacer) reserve(destination string, bytesPerSecond int64, n int) time.Duration {
 	now := p.Clock.Now().Time()
-	limit := rate.Limit(max(bytesPerSecond, leastRate))
+	limit := rate.Limit(max(bytesPerSecond, minBytesPerSecond))
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	l := p.limiters[place]
+	l := p.limiters[destination]
 	if l == nil {
 		if p.limiters == nil {
 			p.limiters = map[string]*rate.Limiter{}
 		}
-		l = rate.NewLimiter(limit, burst)
-		p.limiters[place] = l
+		l = rate.NewLimiter(limit, burstBytes)
+		p.limiters[destination] = l
 	}
 	if l.Limit() != limit {
 		l.SetLimitAt(now, limit)
--- a/internal/connection/pacer/pace_test.go
+++ b/internal/connection/pacer/pace_test.go
@@ -12,7 +12,8 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// newPacer has a clock that only sleeping moves.
+// newPacer returns a Pacer whose clock is advanced only by its Sleep, and the total time
+// slept.
 func newPacer() (*pacer.Pacer, *time.Duration) {
 	slept := new(time.Duration)
 	return &pacer.Pacer{
