--- a/internal/connection/encrypter/doc.go
+++ b/internal/connection/encrypter/doc.go
@@ -1,6 +1,6 @@
-// Package encrypter puts links under TLS. Both ends show a certificate that an
-// authority of the deployment signed; who has none can neither open a link nor be
-// taken for a daemon. Files are read again when they change, so that keys and
-// authorities are replaced without a restart: links that stand keep theirs, new ones
-// use what is there now.
+// Package encrypter secures links with mutual TLS. Both ends present a certificate signed
+// by an authority of the deployment; without one, a process can neither open a link nor
+// pose as a daemon. The files are reloaded when they change, so that keys and authorities
+// can be replaced without a restart: existing links keep the old credentials, new links
+// use the current ones.
 package encrypter
--- a/internal/connection/encrypter/encrypt.go
+++ b/internal/connection/encrypter/encrypt.go
@@ -14,43 +14,45 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// reloadEvery is the time between two looks at the files.
-const reloadEvery = time.Second
+// reloadInterval is the time between two checks of the files for changes.
+const reloadInterval = time.Second
 
 type (
-	// Files name what a daemon needs to show and to trust, in PEM. An authority
-	// file may hold several certificates, old and new.
+	// Files are the paths of the certificate and key of a daemon and of the trusted
+	// certificate authorities, all in PEM. The authority file may hold several
+	// certificates, so that an old and a new authority are trusted together.
 	Files struct {
 		Certificate string
 		Key         string
 		Authority   string
 	}
 
-	// Encrypter wraps connections between daemons. Load must have succeeded
-	// before anything else is called.
+	// Encrypter wraps connections between daemons in TLS. Load must have succeeded
+	// before any other method is called.
 	Encrypter struct {
 		Files Files
-		// Reloaded is told of every change of the files, with the error that
-		// kept the former keys in use.
+		// Reloaded is called after each reload of changed files. On error the
+		// previous credentials stay in use. It may be nil.
 		Reloaded func(error)
 
-		keys atomic.Pointer[keys]
-		seen [3]time.Time
+		credentials    atomic.Pointer[credentials]
+		loadedModTimes [3]time.Time
 	}
 
-	// keys is one version of the files.
-	keys struct {
-		own       tls.Certificate
-		authority *x509.CertPool
+	// credentials is the parsed content of the files.
+	credentials struct {
+		certificate tls.Certificate
+		authorities *x509.CertPool
 	}
 )
 
-// Load reads the files. When they cannot be used they are not read again until one
-// of them changes.
+// Load reads the files and puts the credentials into use. After an error, Run does not
+// read the files again until one of them changes.
 func (e *Encrypter) Load() error {
-	// Taken before the files are read: what is written meanwhile is seen later.
-	e.seen = e.times()
-	own, err := tls.LoadX509KeyPair(e.Files.Certificate, e.Files.Key)
+	// Read the modification times first: a write during the load then causes another
+	// reload.
+	e.loadedModTimes = e.modTimes()
+	certificate, err := tls.LoadX509KeyPair(e.Files.Certificate, e.Files.Key)
 	if err != nil {
 		return eris.Wrap(err, "LinkTLS.Certificate and LinkTLS.Key")
 	}
@@ -62,18 +64,18 @@
 	if !pool.AppendCertsFromPEM(text) {
 		return eris.Errorf("LinkTLS.Authority: no certificate in %s", e.Files.Authority)
 	}
-	e.keys.Store(&keys{own: own, authority: pool})
+	e.credentials.Store(&credentials{certificate: certificate, authorities: pool})
 	return nil
 }
 
-// Run reads the files again when they change, until ctx ends. Files that cannot be
-// used leave the former keys in place.
+// Run reloads the files when they change, until ctx is done. If the new files are
+// invalid, the previous credentials stay in use.
 func (e *Encrypter) Run(ctx context.Context) {
-	timekeeper.Every(ctx, reloadEvery, e.reload)
+	timekeeper.Every(ctx, reloadInterval, e.reload)
 }
 
 func (e *Encrypter) reload() {
-	if e.times() == e.seen {
+	if e.modTimes() == e.loadedModTimes {
 		return
 	}
 	err := e.Load()
@@ -82,8 +84,8 @@
 	}
 }
 
-// times returns when the files were last written, zero for one that is not there.
-func (e *Encrypter) times() [3]time.Time {
+// modTimes returns the modification times of the files, zero for a missing file.
+func (e *Encrypter) modTimes() [3]time.Time {
 	var out [3]time.Time
 	for i, name := range []string{e.Files.Certificate, e.Files.Key, e.Files.Authority} {
 		if s, err := os.Stat(name); err == nil {
@@ -93,17 +95,18 @@
 	return out
 }
 
-// Left is how long the own certificate is still valid at a wall time.
+// Left returns the remaining validity of this daemon's certificate at a wall-clock time.
+// It is negative after expiry.
 func (e *Encrypter) Left(wall timekeeper.Millis) timekeeper.Millis {
-	return timekeeper.Millis(e.keys.Load().own.Leaf.NotAfter.UnixMilli()) - wall
+	return timekeeper.Millis(e.credentials.Load().certificate.Leaf.NotAfter.UnixMilli()) - wall
 }
 
-// Listener wraps accepted connections.
+// Listener returns a listener that accepts TLS connections from l.
 func (e *Encrypter) Listener(l net.Listener) net.Listener {
 	return tls.NewListener(l, e.config())
 }
 
-// Dial connects to an address and shakes hands.
+// Dial connects to an address over TCP and completes the TLS handshake.
 func (e *Encrypter) Dial(ctx context.Context, address string) (net.Conn, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -113,42 +116,43 @@
 	t := tls.Client(conn, e.config())
 	if err := t.HandshakeContext(ctx); err != nil {
 		conn.Close()
-		return nil, eris.Wrapf(err, "TLS with %s", address)
+		return nil, eris.Wrapf(err, "TLS handshake with %s", address)
 	}
 	return t, nil
 }
 
-// config asks for the keys at each handshake. Daemons are known by IP numbers that
-// change with every replaced VM, so certificates are not checked for names: the
-// authority signs for daemons and nobody else.
+// config returns a TLS configuration that uses the current credentials at each handshake.
+// Names in certificates are not verified, because daemons are addressed by IP addresses,
+// which change whenever a VM is replaced. The authority must sign certificates for daemons
+// only.
 func (e *Encrypter) config() *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		ClientAuth:             tls.RequireAnyClientCert,
-		InsecureSkipVerify:     true, // replaced by verify
-		VerifyConnection:       e.verify,
+		InsecureSkipVerify:     true, // verifyChain checks the certificate instead
+		VerifyConnection:       e.verifyChain,
 		SessionTicketsDisabled: true,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return &e.keys.Load().own, nil
+			return &e.credentials.Load().certificate, nil
 		},
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return &e.keys.Load().own, nil
+			return &e.credentials.Load().certificate, nil
 		},
 	}
 }
 
-// verify checks the chain of the other end against the authority in use.
-func (e *Encrypter) verify(s tls.ConnectionState) error {
+// verifyChain verifies the certificate chain of the peer against the current authorities.
+func (e *Encrypter) verifyChain(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
-		return eris.New("no certificate shown")
+		return eris.New("peer presented no certificate")
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range s.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{
-		Roots:         e.keys.Load().authority,
-		Intermediates: between,
+		Roots:         e.credentials.Load().authorities,
+		Intermediates: intermediates,
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	return err
--- a/internal/connection/encrypter/encrypt_test.go
+++ b/internal/connection/encrypter/encrypt_test.go
@@ -16,7 +16,8 @@
 	"github.com/gullvale/gullvale/internal/standin/signer"
 )
 
-// greeting is long enough for an end that expects TLS to see that it is none.
+// greeting is longer than a TLS record header, so that an end that expects TLS detects
+// plain text.
 const greeting = "a greeting of more bytes than the head of a record"
 
 func load(t *testing.T, f encrypter.Files) *encrypter.Encrypter {
@@ -28,8 +29,9 @@
 	return e
 }
 
-// greet sends a word from a to b and back, and returns what went wrong.
-func greet(t *testing.T, b *encrypter.Encrypter, dial func(context.Context, string) (net.Conn, error)) error {
+// exchangeGreeting dials b, sends the greeting and reads it back. It returns the first
+// error of the dialling side.
+func exchangeGreeting(t *testing.T, b *encrypter.Encrypter, dial func(context.Context, string) (net.Conn, error)) error {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,13 +84,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(greet(t, b, c.dial) == nil, c.ok)
+			is.Equal(exchangeGreeting(t, b, c.dial) == nil, c.ok)
 		})
 	}
 }
 
-// TestKeysAreReplacedWithoutRestart moves a daemon from one authority to another,
-// through a while in which both are trusted, and past files that cannot be used.
+// TestKeysAreReplacedWithoutRestart adds a second trusted authority while a daemon runs,
+// then replaces a certificate by an invalid file, which must leave the previous
+// credentials in use.
 func TestKeysAreReplacedWithoutRestart(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -101,9 +104,10 @@
 	b.Reloaded = func(err error) { reloads <- err }
 	go b.Run(ctx)
 	moved := load(t, next.Files(t.TempDir(), later, next, ours))
-	is.True(greet(t, b, moved.Dial) != nil)
+	is.True(exchangeGreeting(t, b, moved.Dial) != nil)
 	await := func(well bool) {
-		// Files are written one by one, so a look may see half of them.
+		// The files are written one after the other, so a reload may see only some
+		// of the new ones.
 		for err := range reloads {
 			if (err == nil) == well {
 				return
@@ -112,10 +116,10 @@
 	}
 	ours.Files(dir, later, ours, next)
 	await(true)
-	is.NoErr(greet(t, b, moved.Dial))
+	is.NoErr(exchangeGreeting(t, b, moved.Dial))
 	is.NoErr(os.WriteFile(filepath.Join(dir, "link.pem"), []byte("no certificate"), 0o600))
 	await(false)
-	is.NoErr(greet(t, b, moved.Dial))
+	is.NoErr(exchangeGreeting(t, b, moved.Dial))
 }
 
 func TestLoadNamesTheSetting(t *testing.T) {
--- a/internal/connection/router/doc.go
+++ b/internal/connection/router/doc.go
@@ -1,4 +1,4 @@
-// Package router serves routes through go-zero's rest with everything switched
-// off that decides or buffers on its own: its time-out, breaker, shedder, body
-// limit and decompression have no place on a path that streams.
+// Package router serves HTTP routes through go-zero's rest package, with the middleware
+// disabled that rejects or buffers requests on its own: timeout, circuit breaker, load
+// shedder, body limit and decompression are unsuitable for streaming.
 package router
--- a/internal/connection/router/router.go
+++ b/internal/connection/router/router.go
@@ -10,13 +10,13 @@
 )
 
 type (
-	// Router is go-zero's router interface over exact paths. Whatever no route
-	// takes goes to the fallback.
+	// Router implements go-zero's router interface for exact paths. A request that
+	// matches no route goes to the fallback.
 	Router struct {
-		routes   map[routeKey]http.Handler
-		paths    map[string]bool
-		fallback http.Handler
-		direct   func(*http.Request) bool
+		routes       map[routeKey]http.Handler
+		paths        map[string]bool
+		fallback     http.Handler
+		bypassRoutes func(*http.Request) bool
 	}
 
 	routeKey struct {
@@ -24,36 +24,37 @@
 		path   string
 	}
 
-	// Options say what else than routes there is.
+	// Options configures New.
 	Options struct {
 		Name   string
 		Routes []rest.Route
-		// Fallback takes requests without a route. Nil answers 404.
+		// Fallback serves requests that match no route. Nil responds with 404.
 		Fallback http.Handler
-		// Direct sends a request to the fallback even if a route has its path.
+		// Direct reports whether a request goes to the fallback even if a route
+		// matches it. Nil means that none does.
 		Direct func(*http.Request) bool
 	}
 )
 
-// New builds a handler of routes.
+// New returns a handler that serves the routes of o.
 func New(o Options) (http.Handler, error) {
 	r := &Router{
-		routes:   map[routeKey]http.Handler{},
-		paths:    map[string]bool{},
-		fallback: o.Fallback,
-		direct:   o.Direct,
+		routes:       map[routeKey]http.Handler{},
+		paths:        map[string]bool{},
+		fallback:     o.Fallback,
+		bypassRoutes: o.Direct,
 	}
 	if r.fallback == nil {
 		r.fallback = http.NotFoundHandler()
 	}
 	conf := rest.RestConf{
 		ServiceConf: service.ServiceConf{Name: o.Name, Log: logx.LogConf{Mode: "console"}, Mode: service.ProMode},
-		// No time-out: a forwarded answer may take hours.
+		// No timeout: a forwarded response may take hours.
 		Timeout: 0,
 	}
 	s, err := rest.NewServer(conf, rest.WithRouter(r))
 	if err != nil {
-		return nil, eris.Wrap(err, "set up routes")
+		return nil, eris.Wrap(err, "create route server")
 	}
 	s.AddRoutes(o.Routes)
 	serverless, err := rest.NewServerless(s)
@@ -63,23 +64,24 @@
 	return http.HandlerFunc(serverless.Serve), nil
 }
 
-// Handle adds a route.
+// Handle adds a route. It never fails.
 func (r *Router) Handle(method, path string, h http.Handler) error {
 	r.routes[routeKey{method, path}] = h
 	r.paths[path] = true
 	return nil
 }
 
-// SetNotFoundHandler is part of go-zero's interface. The fallback is given at
-// construction instead, since go-zero would wrap it.
+// SetNotFoundHandler does nothing. The fallback is passed to New instead, because go-zero
+// would wrap it.
 func (r *Router) SetNotFoundHandler(http.Handler) {}
 
-// SetNotAllowedHandler is part of go-zero's interface.
+// SetNotAllowedHandler does nothing. ServeHTTP itself responds with 405.
 func (r *Router) SetNotAllowedHandler(http.Handler) {}
 
-// ServeHTTP calls the route of a request.
+// ServeHTTP passes a request to the handler of its route or to the fallback. It responds
+// with 405 if only other methods have a route for the path.
 func (r *Router) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	if r.direct != nil && r.direct(q) {
+	if r.bypassRoutes != nil && r.bypassRoutes(q) {
 		r.fallback.ServeHTTP(w, q)
 		return
 	}
