--- a/cmd/gullvale-standin/main.go
+++ b/cmd/gullvale-standin/main.go
@@ -29,7 +29,7 @@
 )
 
 // listening is the line that tells where a stand-in listens.
-type listening struct {
+type listenInfo struct {
 	Address string
 }
 
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	if err := json.NewEncoder(os.Stdout).Encode(listening{Address: l.Addr().String()}); err != nil {
+	if err := json.NewEncoder(os.Stdout).Encode(listenInfo{Address: l.Addr().String()}); err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/internal/process/changer/changer.go
+++ b/internal/process/changer/changer.go
@@ -21,11 +21,11 @@
 		Clock   timekeeper.Clock
 		Log     *recorder.Log
 		Applier *applier.Applier
-		// Guard predicts the use of sites under a tree and says what it would
+		// CheckOverload predicts the use of sites under a tree and says what it would
 		// overload. Nil means no check.
-		Guard func(resolver.Tree) ([]planner.Use, parser.Problems)
-		// Advanced is told when the number in force here went up.
-		Advanced func()
+		CheckOverload func(resolver.Tree) ([]planner.Use, parser.Problems)
+		// OnAdvance is told when the number in force here went up.
+		OnAdvance func()
 	}
 
 	// Request is a change that an operator asks for.
@@ -55,33 +55,33 @@
 		Predicted []planner.Use
 	}
 
-	// GuardError is a change that the guard refused.
-	GuardError struct {
+	// OverloadError is a change that the guard refused.
+	OverloadError struct {
 		Problems parser.Problems
 	}
 )
 
-// ErrNothing reports a change that changes nothing.
-var ErrNothing = eris.New("the settings are already so")
+// ErrNoChange reports a change that changes nothing.
+var ErrNoChange = eris.New("the settings are already so")
 
 // Error lists what the change would overload.
-func (e *GuardError) Error() string {
+func (e *OverloadError) Error() string {
 	return e.Problems.Error()
 }
 
-// Change records a change, or says why not: parser.Problems, GuardError,
-// recorder.ConflictError, ErrNothing, or the store's errors.
+// Change records a change, or says why not: parser.Problems, OverloadError,
+// recorder.ConflictError, ErrNoChange, or the store's errors.
 func (c *Changer) Change(ctx context.Context, r Request) (Result, error) {
 	if err := c.catchUp(ctx); err != nil {
 		return Result{}, err
 	}
-	done, err := c.earlier(&r)
+	done, err := c.checkEarlier(&r)
 	if err != nil || done != nil {
 		return c.result(r, done), err
 	}
 	tree, head := c.Applier.State()
 	if r.Undo > 0 {
-		if r.Edits, err = c.undo(r); err != nil {
+		if r.Edits, err = c.undoEdits(r); err != nil {
 			return Result{}, err
 		}
 	}
@@ -95,8 +95,8 @@
 	if err != nil {
 		return Result{}, err
 	}
-	c.add(made)
-	c.snapshot(ctx, made.Number)
+	c.apply(made)
+	c.saveSnapshot(ctx, made.Number)
 	result.Change = made
 	return result, nil
 }
@@ -106,20 +106,20 @@
 	_, n := c.Applier.State()
 	changes, err := c.Log.Read(ctx, n)
 	for _, x := range changes {
-		c.add(x)
+		c.apply(x)
 	}
 	return err
 }
 
-func (c *Changer) add(x recorder.Change) {
-	if c.Applier.Add(x) && c.Advanced != nil {
-		c.Advanced()
+func (c *Changer) apply(x recorder.Change) {
+	if c.Applier.Add(x) && c.OnAdvance != nil {
+		c.OnAdvance()
 	}
 }
 
-// earlier looks at the changes since the operator looked: one may be this very
+// checkEarlier looks at the changes since the operator looked: one may be this very
 // change, and one may stand in its way.
-func (c *Changer) earlier(r *Request) (*recorder.Change, error) {
+func (c *Changer) checkEarlier(r *Request) (*recorder.Change, error) {
 	base := r.Base
 	for _, x := range c.Applier.History(0) {
 		if x.ID == r.ID {
@@ -130,7 +130,7 @@
 		return nil, nil
 	}
 	for _, x := range c.Applier.History(base) {
-		if err := clash(r.Edits, x); err != nil {
+		if err := conflict(r.Edits, x); err != nil {
 			return nil, err
 		}
 	}
@@ -144,7 +144,7 @@
 	return Result{Change: *done, Edits: r.Edits}
 }
 
-func clash(edits []resolver.Edit, theirs recorder.Change) error {
+func conflict(edits []resolver.Edit, theirs recorder.Change) error {
 	content, err := applier.ContentOf(theirs)
 	if err != nil {
 		return err
@@ -155,9 +155,9 @@
 	return nil
 }
 
-// undo returns the edits that take a change back. A later change of the same
+// undoEdits returns the edits that take a change back. A later change of the same
 // settings stands in the way.
-func (c *Changer) undo(r Request) ([]resolver.Edit, error) {
+func (c *Changer) undoEdits(r Request) ([]resolver.Edit, error) {
 	for _, x := range c.Applier.History(r.Undo - 1) {
 		content, err := applier.ContentOf(x)
 		if err != nil {
@@ -193,35 +193,35 @@
 		return change, result, problems
 	}
 	if len(tree.Difference(next)) == 0 {
-		return change, result, ErrNothing
+		return change, result, ErrNoChange
 	}
 	body, err := json.Marshal(applier.Content{Edits: r.Edits, Inverse: tree.Inverse(r.Edits)})
 	if err != nil {
 		return change, result, eris.Wrap(err, "encode change")
 	}
 	change.Body = body
-	if c.Guard != nil {
-		result.Predicted, result.Warnings = c.Guard(next)
+	if c.CheckOverload != nil {
+		result.Predicted, result.Warnings = c.CheckOverload(next)
 	}
 	if len(result.Warnings) > 0 && !r.Force && !r.DryRun {
-		return change, result, &GuardError{Problems: result.Warnings}
+		return change, result, &OverloadError{Problems: result.Warnings}
 	}
 	return change, result, nil
 }
 
 // rebase asks whether the change still holds behind one that was faster.
 func (c *Changer) rebase(r Request, theirs recorder.Change) error {
-	if err := clash(r.Edits, theirs); err != nil {
+	if err := conflict(r.Edits, theirs); err != nil {
 		return err
 	}
-	c.add(theirs)
+	c.apply(theirs)
 	tree, _ := c.Applier.State()
 	_, _, err := c.prepare(tree, r)
 	return err
 }
 
-// snapshot stores the state now and then. A failure costs readers time only.
-func (c *Changer) snapshot(ctx context.Context, n recorder.Number) {
+// saveSnapshot stores the state now and then. A failure costs readers time only.
+func (c *Changer) saveSnapshot(ctx context.Context, n recorder.Number) {
 	if n%recorder.SnapshotEvery != 0 {
 		return
 	}
--- a/internal/process/configurer/config.go
+++ b/internal/process/configurer/config.go
@@ -40,24 +40,24 @@
 	namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,39}$`)
 	roleNames   = map[string]Role{"view": RoleView, "steer": RoleSteer, "administer": RoleAdminister}
 
-	fields = []field{
-		{"Name", parser.KindText, true, func(c *Config, e parser.Entry) error { return name(&c.Name, e.Text) }},
-		{"Region", parser.KindText, true, func(c *Config, e parser.Entry) error { return name(&c.Region, e.Text) }},
-		{"Domain", parser.KindText, true, func(c *Config, e parser.Entry) error { return name(&c.Domain, e.Text) }},
-		{"Callers", parser.KindText, true, func(c *Config, e parser.Entry) error { return address(&c.Callers, e.Text) }},
-		{"Links", parser.KindText, true, func(c *Config, e parser.Entry) error { return address(&c.Links, e.Text) }},
-		{"Operators", parser.KindText, true, func(c *Config, e parser.Entry) error { return address(&c.Operators, e.Text) }},
-		{"Advertise.Callers", parser.KindText, false, func(c *Config, e parser.Entry) error { return address(&c.AdvertiseCallers, e.Text) }},
-		{"Advertise.Links", parser.KindText, false, func(c *Config, e parser.Entry) error { return address(&c.AdvertiseLinks, e.Text) }},
-		{"Seeds", parser.KindList, false, func(c *Config, e parser.Entry) error { return seeds(c, e.List) }},
-		{"Platform.Address", parser.KindText, true, func(c *Config, e parser.Entry) error { return platform(c, e.Text) }},
+	settings = []setting{
+		{"Name", parser.KindText, true, func(c *Config, e parser.Entry) error { return setName(&c.Name, e.Text) }},
+		{"Region", parser.KindText, true, func(c *Config, e parser.Entry) error { return setName(&c.Region, e.Text) }},
+		{"Domain", parser.KindText, true, func(c *Config, e parser.Entry) error { return setName(&c.Domain, e.Text) }},
+		{"Callers", parser.KindText, true, func(c *Config, e parser.Entry) error { return setAddress(&c.Callers, e.Text) }},
+		{"Links", parser.KindText, true, func(c *Config, e parser.Entry) error { return setAddress(&c.Links, e.Text) }},
+		{"Operators", parser.KindText, true, func(c *Config, e parser.Entry) error { return setAddress(&c.Operators, e.Text) }},
+		{"Advertise.Callers", parser.KindText, false, func(c *Config, e parser.Entry) error { return setAddress(&c.AdvertiseCallers, e.Text) }},
+		{"Advertise.Links", parser.KindText, false, func(c *Config, e parser.Entry) error { return setAddress(&c.AdvertiseLinks, e.Text) }},
+		{"Seeds", parser.KindList, false, func(c *Config, e parser.Entry) error { return setSeeds(c, e.List) }},
+		{"Platform.Address", parser.KindText, true, func(c *Config, e parser.Entry) error { return setPlatform(c, e.Text) }},
 		{"Platform.Token", parser.KindText, false, func(c *Config, e parser.Entry) error { c.PlatformToken = e.Text; return nil }},
-		{"LogLevel", parser.KindText, false, func(c *Config, e parser.Entry) error { return level(c, e.Text) }},
-		{"StopMillis", parser.KindNumber, false, func(c *Config, e parser.Entry) error { return millis(&c.StopMillis, e.Text) }},
+		{"LogLevel", parser.KindText, false, func(c *Config, e parser.Entry) error { return setLogLevel(c, e.Text) }},
+		{"StopMillis", parser.KindNumber, false, func(c *Config, e parser.Entry) error { return setMillis(&c.StopMillis, e.Text) }},
 		{"LinkTLS.Certificate", parser.KindText, false, func(c *Config, e parser.Entry) error { c.LinkTLS.Certificate = e.Text; return nil }},
 		{"LinkTLS.Key", parser.KindText, false, func(c *Config, e parser.Entry) error { c.LinkTLS.Key = e.Text; return nil }},
 		{"LinkTLS.Authority", parser.KindText, false, func(c *Config, e parser.Entry) error { c.LinkTLS.Authority = e.Text; return nil }},
-		{"MostInFlight", parser.KindNumber, false, func(c *Config, e parser.Entry) error { return count(&c.MostInFlight, e.Text) }},
+		{"MostInFlight", parser.KindNumber, false, func(c *Config, e parser.Entry) error { return setCount(&c.MostInFlight, e.Text) }},
 	}
 )
 
@@ -99,7 +99,7 @@
 		Tokens  []Token
 	}
 
-	field struct {
+	setting struct {
 		name     string
 		kind     parser.Kind
 		required bool
@@ -130,17 +130,17 @@
 	}
 	seen := map[string]bool{}
 	for _, e := range entries {
-		if err := c.entry(e); err != nil {
+		if err := c.applyEntry(e); err != nil {
 			problems = append(problems, parser.Problem{Position: e.Position, Path: e.Name(), Text: err.Error()})
 		}
 		seen[e.Name()] = true
 	}
-	for _, f := range fields {
+	for _, f := range settings {
 		if f.required && !seen[f.name] {
 			problems = append(problems, parser.Problem{Position: parser.Position{File: file}, Path: f.name, Text: "is missing"})
 		}
 	}
-	if p, ok := c.linkTLS(file, seen); !ok {
+	if p, ok := c.checkLinkTLS(file, seen); !ok {
 		problems = append(problems, p...)
 	}
 	if t := os.Getenv(EnvPlatformToken); t != "" {
@@ -149,8 +149,8 @@
 	return c, problems
 }
 
-// linkTLS checks that the files of links are named all or none, and can be used.
-func (c *Config) linkTLS(file string, seen map[string]bool) (parser.Problems, bool) {
+// checkLinkTLS checks that the files of links are named all or none, and can be used.
+func (c *Config) checkLinkTLS(file string, seen map[string]bool) (parser.Problems, bool) {
 	var missing parser.Problems
 	names := []string{"LinkTLS.Certificate", "LinkTLS.Key", "LinkTLS.Authority"}
 	for _, n := range names {
@@ -171,22 +171,22 @@
 	return missing, false
 }
 
-func (c *Config) entry(e parser.Entry) error {
+func (c *Config) applyEntry(e parser.Entry) error {
 	if len(e.Path) == tokenParts && e.Path[0] == "Tokens" {
-		return c.token(e)
+		return c.addToken(e)
 	}
-	i := slices.IndexFunc(fields, func(f field) bool { return f.name == e.Name() })
+	i := slices.IndexFunc(settings, func(f setting) bool { return f.name == e.Name() })
 	if i < 0 {
 		return fmt.Errorf("unknown setting%s", suggestion(e.Name()))
 	}
-	if fields[i].kind != e.Kind {
+	if settings[i].kind != e.Kind {
 		return fmt.Errorf("has a value of the wrong kind")
 	}
-	return fields[i].set(c, e)
+	return settings[i].set(c, e)
 }
 
 func suggestion(name string) string {
-	for _, f := range fields {
+	for _, f := range settings {
 		if strings.EqualFold(f.name, name) || strings.EqualFold(f.name, strings.TrimSuffix(name, "s")) {
 			return fmt.Sprintf("; did you mean %s?", f.name)
 		}
@@ -194,8 +194,8 @@
 	return ""
 }
 
-// token reads `anna = "steer <hash>"`.
-func (c *Config) token(e parser.Entry) error {
+// addToken reads `anna = "steer <hash>"`.
+func (c *Config) addToken(e parser.Entry) error {
 	role, hash, _ := strings.Cut(e.Text, " ")
 	t := Token{Who: e.Path[1], Role: roleNames[role]}
 	if t.Role == RoleNone {
@@ -210,7 +210,7 @@
 	return nil
 }
 
-func name(to *string, text string) error {
+func setName(to *string, text string) error {
 	if !namePattern.MatchString(text) {
 		return fmt.Errorf("%q is not a name (a-z, 0-9 and '-', at most 40)", text)
 	}
@@ -218,7 +218,7 @@
 	return nil
 }
 
-func address(to *string, text string) error {
+func setAddress(to *string, text string) error {
 	if _, err := netip.ParseAddrPort(text); err != nil {
 		return fmt.Errorf("%q is not an IP number with a port", text)
 	}
@@ -226,7 +226,7 @@
 	return nil
 }
 
-func seeds(c *Config, list []string) error {
+func setSeeds(c *Config, list []string) error {
 	for _, a := range list {
 		if _, err := netip.ParseAddrPort(a); err != nil {
 			return fmt.Errorf("%q is not an IP number with a port", a)
@@ -236,7 +236,7 @@
 	return nil
 }
 
-func platform(c *Config, text string) error {
+func setPlatform(c *Config, text string) error {
 	u, err := url.Parse(text)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
 		return fmt.Errorf("%q is not a URL such as http://10.0.0.5:7000", text)
@@ -245,7 +245,7 @@
 	return nil
 }
 
-func level(c *Config, text string) error {
+func setLogLevel(c *Config, text string) error {
 	l, err := logrus.ParseLevel(text)
 	if err != nil {
 		return fmt.Errorf("%q is not one of error, warn, info, debug", text)
@@ -254,7 +254,7 @@
 	return nil
 }
 
-func count(to *int64, text string) error {
+func setCount(to *int64, text string) error {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < 0 {
 		return fmt.Errorf("%q is not a number of requests", text)
@@ -263,7 +263,7 @@
 	return nil
 }
 
-func millis(to *timekeeper.Millis, text string) error {
+func setMillis(to *timekeeper.Millis, text string) error {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < 0 {
 		return fmt.Errorf("%q is not a time in milliseconds", text)
--- a/internal/process/logger/logger.go
+++ b/internal/process/logger/logger.go
@@ -27,7 +27,7 @@
 		// go-zero sets up its log once, with a writer of its own. That must
 		// have happened before the writer is replaced.
 		_ = logx.SetUp(logx.LogConf{Mode: "console"})
-		logx.SetWriter(bridge{l})
+		logx.SetWriter(logxWriter{l})
 		logx.DisableStat()
 		stat.DisableLog()
 	})
@@ -37,11 +37,11 @@
 // bridge is go-zero's log writer over logrus. What go-zero logs for each
 // request, failed ones included, is at debug level here: requests are counted,
 // not logged, and their errors reach the caller anyway.
-type bridge struct {
+type logxWriter struct {
 	log *logrus.Logger
 }
 
-func (b bridge) entry(fields []logx.LogField) *logrus.Entry {
+func (b logxWriter) entry(fields []logx.LogField) *logrus.Entry {
 	e := b.log.WithField("source", "go-zero")
 	for _, f := range fields {
 		e = e.WithField(f.Key, f.Value)
@@ -49,13 +49,13 @@
 	return e
 }
 
-func (b bridge) Alert(v any)                          { b.entry(nil).Error(text(v)) }
-func (b bridge) Close() error                         { return nil }
-func (b bridge) Debug(v any, fields ...logx.LogField) { b.entry(fields).Debug(text(v)) }
-func (b bridge) Error(v any, fields ...logx.LogField) { b.entry(fields).Debug(text(v)) }
-func (b bridge) Info(v any, fields ...logx.LogField)  { b.entry(fields).Debug(text(v)) }
-func (b bridge) Severe(v any)                         { b.entry(nil).Error(text(v)) }
-func (b bridge) Slow(v any, fields ...logx.LogField)  { b.entry(fields).Debug(text(v)) }
-func (b bridge) Stack(v any)                          { b.entry(nil).Error(text(v)) }
-func (b bridge) Stat(v any, fields ...logx.LogField)  { b.entry(fields).Debug(text(v)) }
-func text(v any) string                               { return fmt.Sprint(v) }
+func (b logxWriter) Alert(v any)                          { b.entry(nil).Error(text(v)) }
+func (b logxWriter) Close() error                         { return nil }
+func (b logxWriter) Debug(v any, fields ...logx.LogField) { b.entry(fields).Debug(text(v)) }
+func (b logxWriter) Error(v any, fields ...logx.LogField) { b.entry(fields).Debug(text(v)) }
+func (b logxWriter) Info(v any, fields ...logx.LogField)  { b.entry(fields).Debug(text(v)) }
+func (b logxWriter) Severe(v any)                         { b.entry(nil).Error(text(v)) }
+func (b logxWriter) Slow(v any, fields ...logx.LogField)  { b.entry(fields).Debug(text(v)) }
+func (b logxWriter) Stack(v any)                          { b.entry(nil).Error(text(v)) }
+func (b logxWriter) Stat(v any, fields ...logx.LogField)  { b.entry(fields).Debug(text(v)) }
+func text(v any) string                                   { return fmt.Sprint(v) }
--- a/internal/process/logger/queue.go
+++ b/internal/process/logger/queue.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// queueLines is how many lines wait to be written: about two seconds of a
+	// queueCapacity is how many lines wait to be written: about two seconds of a
 	// process that writes as many as it may.
-	queueLines = 1024
+	queueCapacity = 1024
 
-	// closeWait is how long Close waits for the lines that are left.
-	closeWait = 200 * time.Millisecond
+	// closeTimeout is how long Close waits for the lines that are left.
+	closeTimeout = 200 * time.Millisecond
 )
 
 // Queue writes lines in the background, so that a reader of the logs that does not
@@ -27,7 +27,7 @@
 
 // NewQueue starts a queue in front of out.
 func NewQueue(out io.Writer) *Queue {
-	q := &Queue{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{})}
+	q := &Queue{out: out, lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go q.run()
 	return q
 }
@@ -54,7 +54,7 @@
 	close(q.lines)
 	select {
 	case <-q.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
--- a/internal/process/logger/queue_test.go
+++ b/internal/process/logger/queue_test.go
@@ -13,9 +13,9 @@
 )
 
 // stuck is a writer that nobody reads.
-type stuck struct{ release chan struct{} }
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
@@ -38,7 +38,7 @@
 
 func TestQueueNeverBlocks(t *testing.T) {
 	is := is.New(t)
-	s := stuck{make(chan struct{})}
+	s := blockedWriter{make(chan struct{})}
 	q := logger.NewQueue(s)
 	const lines = 5000
 	for range lines {
--- a/internal/process/measurer/meter.go
+++ b/internal/process/measurer/meter.go
@@ -109,35 +109,35 @@
 	k := metricKey{name, l}
 	h, ok := m.histograms.Load(k)
 	if !ok {
-		h, _ = m.histograms.LoadOrStore(k, m.tagged(l).Histogram(name, latencyBuckets))
+		h, _ = m.histograms.LoadOrStore(k, m.taggedScope(l).Histogram(name, latencyBuckets))
 	}
 	h.(tally.Histogram).RecordDuration(d)
 }
 
 // Gauge sets a gauge.
 func (m *Meter) Gauge(name string, l Labels, v float64) {
-	m.tagged(l).Gauge(name).Update(v)
+	m.taggedScope(l).Gauge(name).Update(v)
 }
 
 func (m *Meter) counter(name string, l Labels) tally.Counter {
 	k := metricKey{name, l}
 	c, ok := m.counters.Load(k)
 	if !ok {
-		c, _ = m.counters.LoadOrStore(k, m.tagged(l).Counter(name))
+		c, _ = m.counters.LoadOrStore(k, m.taggedScope(l).Counter(name))
 	}
 	return c.(tally.Counter)
 }
 
-// tagged always sets all labels: one name has one set of them.
-func (m *Meter) tagged(l Labels) tally.Scope {
+// taggedScope always sets all labels: one name has one set of them.
+func (m *Meter) taggedScope(l Labels) tally.Scope {
 	return m.scope.Tagged(map[string]string{
-		"service": orNone(l.Service),
-		"class":   orNone(l.Class),
-		"kind":    orNone(l.Kind),
+		"service": labelValue(l.Service),
+		"class":   labelValue(l.Class),
+		"kind":    labelValue(l.Kind),
 	})
 }
 
-func orNone(s string) string {
+func labelValue(s string) string {
 	if s == "" {
 		return "none"
 	}
--- a/internal/process/operator/page.go
+++ b/internal/process/operator/page.go
@@ -16,8 +16,8 @@
 //go:embed page/index.html
 var page []byte
 
-// packedPage is the page as it goes over poor links.
-var packedPage = sync.OnceValue(func() []byte {
+// compressedPage is the page as it goes over poor links.
+var compressedPage = sync.OnceValue(func() []byte {
 	var b bytes.Buffer
 	w, _ := gzip.NewWriterLevel(&b, gzip.BestCompression)
 	_, _ = w.Write(page)
@@ -33,7 +33,7 @@
 	h.Set("Referrer-Policy", "no-referrer")
 	if strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		h.Set("Content-Encoding", "gzip")
-		_, _ = w.Write(packedPage())
+		_, _ = w.Write(compressedPage())
 		return
 	}
 	_, _ = w.Write(page)
--- a/internal/process/operator/page_test.go
+++ b/internal/process/operator/page_test.go
@@ -13,7 +13,7 @@
 	"github.com/gullvale/gullvale/internal/process/operator"
 )
 
-const mostPageBytes = 50 << 10
+const maxPageBytes = 50 << 10
 
 // TestPage gets the phone page as a phone does, packed, and as it is: one file, small
 // enough for a poor link, that asks nobody else for anything.
@@ -39,7 +39,7 @@
 	text, err := io.ReadAll(r)
 	is.NoErr(err)
 	is.Equal(string(text), plain)
-	is.True(len(plain) < mostPageBytes)
+	is.True(len(plain) < maxPageBytes)
 	is.True(!strings.Contains(plain, "//cdn") && !strings.Contains(plain, "http://") && !strings.Contains(plain, "https://"))
 	is.True(!strings.Contains(plain, "innerHTML")) // nothing that operators wrote can run
 	is.True(strings.Contains(packed.Header().Get("Content-Security-Policy"), "default-src 'none'"))
--- a/internal/process/operator/server.go
+++ b/internal/process/operator/server.go
@@ -31,7 +31,7 @@
 
 const (
 	maxRequestBytes = 64 << 20
-	idBytes         = 9
+	changeIDBytes   = 9
 )
 
 type (
@@ -57,14 +57,14 @@
 		Lookup http.Handler
 	}
 
-	// who is the operator of a call.
-	who struct {
+	// identity is the operator of a call.
+	identity struct {
 		name string
 		role configurer.Role
 		from string
 	}
 
-	handler func(context.Context, who, *http.Request) (any, error)
+	handler func(context.Context, identity, *http.Request) (any, error)
 
 	// inputError is a call that cannot be understood.
 	inputError struct{ text string }
@@ -85,10 +85,10 @@
 			s.route(http.MethodGet, PathInForce, view, s.inForce),
 			s.route(http.MethodGet, PathStatus, view, s.status),
 			s.route(http.MethodGet, PathOutlook, view, s.outlook),
-			s.route(http.MethodGet, quarantiner.PathList, view, s.quarantined),
-			s.route(http.MethodPost, quarantiner.PathLift, steer, s.lift),
+			s.route(http.MethodGet, quarantiner.PathList, view, s.listQuarantine),
+			s.route(http.MethodPost, quarantiner.PathLift, steer, s.liftQuarantine),
 			s.route(http.MethodPost, PathChange, steer, s.change),
-			s.route(http.MethodPost, PathBlocks, configurer.RoleAdminister, s.blocks),
+			s.route(http.MethodPost, PathBlocks, configurer.RoleAdminister, s.storeBlocks),
 			{Method: http.MethodGet, Path: PathPage, Handler: servePage},
 			{Method: http.MethodGet, Path: PathLookup, Handler: s.Lookup.ServeHTTP},
 			{Method: http.MethodGet, Path: PathMetrics, Handler: s.Metrics.ServeHTTP},
@@ -101,24 +101,24 @@
 	return rest.Route{Method: method, Path: path, Handler: func(w http.ResponseWriter, r *http.Request) {
 		o := s.identify(r)
 		if o.role < least {
-			write(w, http.StatusForbidden, ErrorAnswer{Failure: FailureForbidden, Text: s.denial(o, least)})
+			writeJSON(w, http.StatusForbidden, ErrorAnswer{Failure: FailureForbidden, Text: s.denialText(o, least)})
 			return
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, maxRequestBytes)
 		answer, err := h(r.Context(), o, r)
 		if err != nil {
-			status, e := explain(err)
-			write(w, status, e)
+			status, e := errorResponse(err)
+			writeJSON(w, status, e)
 			return
 		}
-		write(w, http.StatusOK, answer)
+		writeJSON(w, http.StatusOK, answer)
 	}}
 }
 
 // identify finds the operator by the hash of the token. Every token is
 // compared, so the time taken tells nothing.
-func (s *Server) identify(r *http.Request) who {
-	out := who{}
+func (s *Server) identify(r *http.Request) identity {
+	out := identity{}
 	out.from, _, _ = net.SplitHostPort(r.RemoteAddr)
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -134,7 +134,7 @@
 	return out
 }
 
-func (s *Server) denial(o who, least configurer.Role) string {
+func (s *Server) denialText(o identity, least configurer.Role) string {
 	switch {
 	case len(s.Tokens) == 0:
 		return "this daemon has no tokens in its settings"
@@ -146,7 +146,7 @@
 	return o.name + " may not do this; it takes the role steer"
 }
 
-func (s *Server) settings(_ context.Context, _ who, r *http.Request) (any, error) {
+func (s *Server) settings(_ context.Context, _ identity, r *http.Request) (any, error) {
 	p, err := resolver.ParsePath(r.URL.Query().Get("Path"))
 	if err != nil {
 		return nil, inputError{err.Error()}
@@ -157,13 +157,13 @@
 	return SettingsAnswer{Number: n, Path: p.String(), Values: t.Explain(p), Beneath: beneath}, nil
 }
 
-func (s *Server) toml(context.Context, who, *http.Request) (any, error) {
+func (s *Server) toml(context.Context, identity, *http.Request) (any, error) {
 	t, n := s.Applier.State()
 	return TOMLAnswer{Number: n, Text: t.TOML()}, nil
 }
 
-func (s *Server) log(ctx context.Context, _ who, r *http.Request) (any, error) {
-	after, err := number(r, "After")
+func (s *Server) log(ctx context.Context, _ identity, r *http.Request) (any, error) {
+	after, err := queryNumber(r, "After")
 	if err != nil {
 		return nil, err
 	}
@@ -175,27 +175,27 @@
 	return LogAnswer{Changes: changes}, nil
 }
 
-func (s *Server) inForce(ctx context.Context, _ who, r *http.Request) (any, error) {
-	n, err := number(r, "Number")
+func (s *Server) inForce(ctx context.Context, _ identity, r *http.Request) (any, error) {
+	n, err := queryNumber(r, "Number")
 	if err != nil {
 		return nil, err
 	}
 	return s.InForce(ctx, n)
 }
 
-func (s *Server) status(ctx context.Context, _ who, _ *http.Request) (any, error) {
+func (s *Server) status(ctx context.Context, _ identity, _ *http.Request) (any, error) {
 	return s.Status(ctx), nil
 }
 
-func (s *Server) outlook(ctx context.Context, _ who, _ *http.Request) (any, error) {
+func (s *Server) outlook(ctx context.Context, _ identity, _ *http.Request) (any, error) {
 	return s.Outlook(ctx)
 }
 
-func (s *Server) quarantined(context.Context, who, *http.Request) (any, error) {
+func (s *Server) listQuarantine(context.Context, identity, *http.Request) (any, error) {
 	return s.Quarantine.List(), nil
 }
 
-func (s *Server) lift(_ context.Context, _ who, r *http.Request) (any, error) {
+func (s *Server) liftQuarantine(_ context.Context, _ identity, r *http.Request) (any, error) {
 	l, err := s.Quarantine.Lift(r.URL.Query().Get(quarantiner.FieldFingerprint))
 	if err != nil {
 		return nil, inputError{err.Error()}
@@ -203,12 +203,12 @@
 	return l, nil
 }
 
-func (s *Server) change(ctx context.Context, o who, r *http.Request) (any, error) {
+func (s *Server) change(ctx context.Context, o identity, r *http.Request) (any, error) {
 	var q ChangeRequest
 	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
 		return nil, inputError{"body: " + err.Error()}
 	}
-	edits, err := s.edits(q)
+	edits, err := s.requestedEdits(q)
 	if err != nil {
 		return nil, err
 	}
@@ -238,9 +238,9 @@
 	}, nil
 }
 
-// edits returns what is to be edited. A whole tree becomes its difference to
+// requestedEdits returns what is to be edited. A whole tree becomes its difference to
 // the one in force.
-func (s *Server) edits(q ChangeRequest) ([]resolver.Edit, error) {
+func (s *Server) requestedEdits(q ChangeRequest) ([]resolver.Edit, error) {
 	if q.TOML == "" {
 		return q.Edits, nil
 	}
@@ -253,8 +253,8 @@
 	return now.Difference(next), nil
 }
 
-// blocks stores a table of client blocks under a new name.
-func (s *Server) blocks(ctx context.Context, _ who, r *http.Request) (any, error) {
+// storeBlocks stores a table of client blocks under a new name.
+func (s *Server) storeBlocks(ctx context.Context, _ identity, r *http.Request) (any, error) {
 	name := r.URL.Query().Get("Name")
 	if name == "" || strings.ContainsAny(name, "/ ") {
 		return nil, inputError{"Name is missing or has a blank or slash in it"}
@@ -285,7 +285,7 @@
 	_, _ = io.WriteString(w, "ok\n")
 }
 
-func number(r *http.Request, name string) (recorder.Number, error) {
+func queryNumber(r *http.Request, name string) (recorder.Number, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
@@ -297,10 +297,10 @@
 	return recorder.Number(n), nil
 }
 
-// explain turns an error into an answer.
-func explain(err error) (int, ErrorAnswer) {
+// errorResponse turns an error into an answer.
+func errorResponse(err error) (int, ErrorAnswer) {
 	var problems parser.Problems
-	var unsafe *changer.GuardError
+	var unsafe *changer.OverloadError
 	var conflict *recorder.ConflictError
 	var input inputError
 	e := ErrorAnswer{Text: err.Error()}
@@ -317,7 +317,7 @@
 		e.Failure = FailureInput
 		e.Problems = problems
 		return http.StatusBadRequest, e
-	case errors.As(err, &input), errors.Is(err, changer.ErrNothing), errors.Is(err, storer.ErrConflict):
+	case errors.As(err, &input), errors.Is(err, changer.ErrNoChange), errors.Is(err, storer.ErrConflict):
 		e.Failure = FailureInput
 		return http.StatusBadRequest, e
 	case errors.Is(err, storer.ErrUnknown):
@@ -328,7 +328,7 @@
 	return http.StatusServiceUnavailable, e
 }
 
-func write(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
@@ -336,7 +336,7 @@
 
 // NewChangeID returns an id that no other change has.
 func NewChangeID() recorder.ChangeID {
-	b := make([]byte, idBytes)
+	b := make([]byte, changeIDBytes)
 	_, _ = rand.Read(b)
 	return recorder.ChangeID(hex.EncodeToString(b))
 }
--- a/internal/process/runner/assemble.go
+++ b/internal/process/runner/assemble.go
@@ -20,43 +20,44 @@
 )
 
 const (
-	firstTablePause = 200 * time.Millisecond
-	lastTablePause  = 10 * time.Second
+	minTablePoll = 200 * time.Millisecond
+	maxTablePoll = 10 * time.Second
 )
 
-// versions is the parts of the next snapshot.
-type versions struct {
+// snapshotInputs holds the latest inputs for the next snapshot.
+type snapshotInputs struct {
 	lock      sync.Mutex
 	plan      planner.Plan
 	rosters   map[string]registrar.Roster
 	table     *locator.Table
 	tableName string
 
-	// resolved caches the work on settings with a number.
+	// resolved caches the settings resolved at number.
 	resolved *resolver.Resolved
 	number   recorder.Number
 }
 
-// objectsChanged takes new objects of the platform into the parts.
-func (d *Daemon) objectsChanged(objects []storer.Object) {
+// applyObjects adds new objects from the platform to the snapshot inputs and
+// triggers a rebuild.
+func (d *Daemon) applyObjects(objects []storer.Object) {
 	for _, o := range objects {
-		if err := d.objectChanged(o); err != nil {
-			d.log.WithError(err).WithField("object", o.Name).Warn("object not understood")
+		if err := d.applyObject(o); err != nil {
+			d.log.WithError(err).WithField("object", o.Name).Warn("cannot decode object")
 		}
 	}
-	d.trigger()
+	d.triggerRebuild()
 }
 
-func (d *Daemon) objectChanged(o storer.Object) error {
+func (d *Daemon) applyObject(o storer.Object) error {
 	switch {
 	case o.Name == planner.ObjectName:
-		return d.planChanged(o)
+		return d.applyPlan(o)
 	case strings.HasPrefix(o.Name, registrar.Prefix):
-		return d.rosterChanged(o)
+		return d.applyRoster(o)
 	case o.Name == lister.ObjectName:
-		return d.listChanged(o)
+		return d.applyList(o)
 	case o.Name == settingsPrefix+recorder.SnapshotName:
-		return d.snapshotChanged(o)
+		return d.applySettingsSnapshot(o)
 	case strings.HasPrefix(o.Name, d.records.ChangePrefix()):
 		c, err := d.records.Decode(o)
 		if err != nil {
@@ -67,38 +68,38 @@
 	return nil
 }
 
-func (d *Daemon) planChanged(o storer.Object) error {
+func (d *Daemon) applyPlan(o storer.Object) error {
 	p, err := planner.Decode(o.Body)
 	if err != nil {
 		return err
 	}
-	d.versions.lock.Lock()
-	defer d.versions.lock.Unlock()
-	if p.Number > d.versions.plan.Number {
-		d.versions.plan = p
+	d.inputs.lock.Lock()
+	defer d.inputs.lock.Unlock()
+	if p.Number > d.inputs.plan.Number {
+		d.inputs.plan = p
 	}
 	return nil
 }
 
-func (d *Daemon) rosterChanged(o storer.Object) error {
+func (d *Daemon) applyRoster(o storer.Object) error {
 	r, err := registrar.Decode(o.Body)
 	if err != nil {
 		return err
 	}
-	d.versions.lock.Lock()
-	defer d.versions.lock.Unlock()
-	if d.versions.rosters == nil {
-		d.versions.rosters = map[string]registrar.Roster{}
+	d.inputs.lock.Lock()
+	defer d.inputs.lock.Unlock()
+	if d.inputs.rosters == nil {
+		d.inputs.rosters = map[string]registrar.Roster{}
 	}
-	if r.Version > d.versions.rosters[r.Region].Version {
-		d.versions.rosters[r.Region] = r
+	if r.Version > d.inputs.rosters[r.Region].Version {
+		d.inputs.rosters[r.Region] = r
 	}
 	return nil
 }
 
-// listChanged acts on the platform's list of VMs: upstreams on VMs that leave get
-// nothing new.
-func (d *Daemon) listChanged(o storer.Object) error {
+// applyList applies the platform's list of VMs: upstreams on leaving VMs get no new
+// requests.
+func (d *Daemon) applyList(o storer.Object) error {
 	l, err := lister.Decode(o.Body)
 	if err != nil {
 		return err
@@ -107,7 +108,7 @@
 	return nil
 }
 
-func (d *Daemon) snapshotChanged(o storer.Object) error {
+func (d *Daemon) applySettingsSnapshot(o storer.Object) error {
 	s, err := recorder.DecodeSnapshot(o)
 	if err != nil {
 		return err
@@ -115,7 +116,7 @@
 	if err := d.applier.Restore(s); err != nil {
 		return err
 	}
-	// Changes far behind a snapshot help nobody any more.
+	// No reader needs changes that the snapshot has long included.
 	d.replica.Forget(func(name string) bool {
 		n, ok := d.records.NumberOf(name)
 		return ok && n+recorder.SnapshotEvery < s.Number
@@ -123,8 +124,8 @@
 	return nil
 }
 
-// trigger has the snapshot rebuilt soon.
-func (d *Daemon) trigger() {
+// triggerRebuild schedules a rebuild of the snapshot. It never blocks.
+func (d *Daemon) triggerRebuild() {
 	select {
 	case d.rebuild <- struct{}{}:
 	default:
@@ -137,58 +138,60 @@
 		case <-ctx.Done():
 			return
 		case <-d.rebuild:
-			d.build()
+			d.buildSnapshot()
 		}
 	}
 }
 
-// build makes the next snapshot and puts it in force.
-func (d *Daemon) build() {
-	parts, versions := d.parts()
+// buildSnapshot builds the next snapshot and puts it in force.
+func (d *Daemon) buildSnapshot() {
+	parts, rosterVersions := d.snapshotParts()
 	next, err := steerer.Build(parts)
 	if err != nil {
-		d.log.WithError(err).Error("snapshot not built")
+		d.log.WithError(err).Error("cannot build snapshot")
 		return
 	}
 	last := d.snapshot.Load()
 	if last != nil && (next.Number < last.Number || next.Plan.Number < last.Plan.Number) {
-		// Numbers in force never go down in a process.
-		panic("runner: a snapshot would take settings or plan back")
+		// The numbers in force never decrease within a process.
+		panic("runner: new snapshot has an older settings or plan number")
 	}
 	d.snapshot.Store(next)
-	d.claimer.Set(next.View, versions, next.Settings)
+	d.claimer.Set(next.View, rosterVersions, next.Settings)
 	d.logVersions(last, next)
 	d.joiner.Poke()
 }
 
-func (d *Daemon) parts() (steerer.Parts, map[string]uint64) {
-	v := &d.versions
-	v.lock.Lock()
-	defer v.lock.Unlock()
+// snapshotParts returns the parts of the next snapshot and the roster version of each
+// region.
+func (d *Daemon) snapshotParts() (steerer.Parts, map[string]uint64) {
+	i := &d.inputs
+	i.lock.Lock()
+	defer i.lock.Unlock()
 	tree, number := d.applier.State()
-	if v.resolved == nil || v.number != number {
-		v.resolved = tree.Resolve()
-		v.number = number
+	if i.resolved == nil || i.number != number {
+		i.resolved = tree.Resolve()
+		i.number = number
 	}
-	if v.table == nil {
-		v.table = &locator.Table{}
+	if i.table == nil {
+		i.table = &locator.Table{}
 	}
-	rosters := make([]registrar.Roster, 0, len(v.rosters))
-	numbers := map[string]uint64{}
-	for _, r := range v.rosters {
+	rosters := make([]registrar.Roster, 0, len(i.rosters))
+	versions := map[string]uint64{}
+	for _, r := range i.rosters {
 		rosters = append(rosters, r)
-		numbers[r.Region] = r.Version
+		versions[r.Region] = r.Version
 	}
 	return steerer.Parts{
-		Settings: v.resolved,
+		Settings: i.resolved,
 		Number:   number,
-		Plan:     v.plan,
-		View:     registrar.NewView(rosters).Without(d.suspects.list()).Without(d.replaced(rosters)),
-		Table:    v.table,
+		Plan:     i.plan,
+		View:     registrar.NewView(rosters).Without(d.unreachable.list()).Without(d.formerIncarnations(rosters)),
+		Table:    i.table,
 		Home:     d.self.Site,
 		Self:     d.Self(),
 		Wall:     d.clock.WallNow(),
-	}, numbers
+	}, versions
 }
 
 func (d *Daemon) logVersions(last, next *steerer.Snapshot) {
@@ -202,15 +205,16 @@
 	}).Info("settings in force")
 }
 
-// loopBlocks loads the table of client blocks that the settings name.
+// loopBlocks loads the table of client blocks named in the settings, with back-off
+// after a failure.
 func (d *Daemon) loopBlocks(ctx context.Context) {
-	pause := firstTablePause
+	pause := minTablePoll
 	for {
-		if s := d.snapshot.Load(); s != nil && d.tableWanted(s.Settings.BlockTable) {
+		if s := d.snapshot.Load(); s != nil && d.needsTable(s.Settings.BlockTable) {
 			if d.loadTable(ctx, s.Settings.BlockTable) {
-				pause = firstTablePause
+				pause = minTablePoll
 			} else {
-				pause = min(pause*2, lastTablePause)
+				pause = min(pause*2, maxTablePoll)
 			}
 		}
 		select {
@@ -221,24 +225,25 @@
 	}
 }
 
-func (d *Daemon) tableWanted(name string) bool {
-	d.versions.lock.Lock()
-	defer d.versions.lock.Unlock()
-	return name != "" && name != d.versions.tableName
+func (d *Daemon) needsTable(name string) bool {
+	d.inputs.lock.Lock()
+	defer d.inputs.lock.Unlock()
+	return name != "" && name != d.inputs.tableName
 }
 
-// loadTable puts a table in force. The old one stays until the new is whole.
+// loadTable loads a table and puts it in force; the old table stays in use until the
+// new one is complete. It reports whether the table was loaded.
 func (d *Daemon) loadTable(ctx context.Context, name string) bool {
 	t, err := locator.Load(ctx, d.store, name)
 	if err != nil {
-		d.log.WithError(err).WithField("table", name).Warn("client blocks not loaded")
+		d.log.WithError(err).WithField("table", name).Warn("cannot load client blocks")
 		return false
 	}
-	d.versions.lock.Lock()
-	d.versions.table = t
-	d.versions.tableName = name
-	d.versions.lock.Unlock()
+	d.inputs.lock.Lock()
+	d.inputs.table = t
+	d.inputs.tableName = name
+	d.inputs.lock.Unlock()
 	d.log.WithFields(logrus.Fields{"table": name, "blocks": t.Len()}).Info("client blocks in force")
-	d.trigger()
+	d.triggerRebuild()
 	return true
 }
--- a/internal/process/runner/control.go
+++ b/internal/process/runner/control.go
@@ -21,29 +21,31 @@
 )
 
 const (
-	// announceEvery is the least time between two announcements of free slots.
-	announceEvery = 5 * time.Millisecond
+	// announceInterval is the minimum time between two announcements of free slots.
+	announceInterval = 5 * time.Millisecond
 
-	// announceLater is when one that the budget did not allow is tried again.
-	announceLater = 50 * time.Millisecond
+	// announceRetryDelay is the delay before retrying an announcement that exceeded
+	// the link budget.
+	announceRetryDelay = 50 * time.Millisecond
 
-	// Loads are reported at the latest after measureLatest heartbeats, and sooner
-	// when a pool's use changed by measureStep of its slots: reports are most of
-	// what a member tells its lead.
-	measureSoonest = timekeeper.Second
-	measureLatest  = 4
-	measureStep    = 0.25
+	// Loads are reported after at most maxReportHeartbeats heartbeat intervals, and
+	// earlier, but not before minReportInterval, when a pool's busy slots changed by more
+	// than reportThreshold of its slots. Load reports are most of the traffic from a
+	// member to its leader.
+	minReportInterval   = timekeeper.Second
+	maxReportHeartbeats = 4
+	reportThreshold     = 0.25
 )
 
-// control handles the frames of control streams.
-func (d *Daemon) control(s *linker.Session, f framer.Frame) {
-	if err := d.controlFrame(s, f); err != nil {
+// handleControl handles a frame of a control stream. A malformed frame closes the link.
+func (d *Daemon) handleControl(s *linker.Session, f framer.Frame) {
+	if err := d.handleControlFrame(s, f); err != nil {
 		d.log.WithError(err).WithField("peer", s.Remote().Name).Warn("link ended: bad frame")
 		s.Close()
 	}
 }
 
-func (d *Daemon) controlFrame(s *linker.Session, f framer.Frame) error {
+func (d *Daemon) handleControlFrame(s *linker.Session, f framer.Frame) error {
 	switch f.Kind {
 	case framer.KindHeartbeat:
 		var m framer.Heartbeat
@@ -86,14 +88,14 @@
 		if err := f.Decode(&m); err != nil {
 			return err
 		}
-		return d.suspectsHeard(s, &m)
+		return d.handleSuspects(s, &m)
 	}
-	// Frames of kinds unknown here come from a later version and are left out.
+	// Unknown frame kinds come from a later version and are ignored.
 	return nil
 }
 
-// beat fills in a heartbeat.
-func (d *Daemon) beat(h *framer.Heartbeat) {
+// fillHeartbeat sets the fields of a heartbeat to the daemon's current state.
+func (d *Daemon) fillHeartbeat(h *framer.Heartbeat) {
 	if s := d.snapshot.Load(); s != nil {
 		h.Settings = uint64(s.Number)
 		h.Plan = uint64(s.Plan.Number)
@@ -101,28 +103,27 @@
 	h.Revision = uint64(d.replica.Revision())
 	h.Leaving = d.leaving.Load()
 	h.InFlight = uint32(d.forwarder.InFlight())
-	d.measure(h)
+	d.addLoads(h)
 }
 
-// measure adds loads and works to a heartbeat: now and then, and soon when the use
-// of a pool changed much.
-func (d *Daemon) measure(h *framer.Heartbeat) {
+// addLoads adds the loads and work of the pools to a heartbeat if a report is due.
+func (d *Daemon) addLoads(h *framer.Heartbeat) {
 	now := d.clock.Now()
-	span := now - d.measured
+	span := now - d.lastReport
 	pools := d.owner.Pools()
-	if span < measureSoonest || span < measureLatest*d.joiner.Interval() && !d.usesChanged(pools) {
+	if span < minReportInterval || span < maxReportHeartbeats*d.joiner.Interval() && !d.loadChanged(pools) {
 		return
 	}
 	s := d.snapshot.Load()
 	if s == nil {
 		return
 	}
-	d.measured = now
+	d.lastReport = now
 	h.SpanMillis = uint32(span)
 	n := s.Settings.Numbering()
 	for k, p := range pools {
 		load, work := p.TakeLoad()
-		d.reported[k] = load.Busy
+		d.reportedBusy[k] = load.Busy
 		l := loadMessage(n, k, load, work)
 		if l.Service != 0 && l.Site != 0 && (l.Slots > 0 || len(l.Works) > 0) {
 			h.Loads = append(h.Loads, l)
@@ -148,24 +149,26 @@
 	return m
 }
 
-// usesChanged tells whether a pool's use is far from what was reported last.
-func (d *Daemon) usesChanged(pools map[pooler.Key]*pooler.Pool) bool {
+// loadChanged reports whether a pool's busy slots differ from the last report by more
+// than reportThreshold.
+func (d *Daemon) loadChanged(pools map[pooler.Key]*pooler.Pool) bool {
 	for k, p := range pools {
 		l := p.Load()
-		change := l.Busy - d.reported[k]
-		if float64(max(change, -change)) > float64(l.Slots)*measureStep {
+		change := l.Busy - d.reportedBusy[k]
+		if float64(max(change, -change)) > float64(l.Slots)*reportThreshold {
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Daemon) selfBeat(h *framer.Heartbeat) *framer.Ack {
+func (d *Daemon) handleOwnHeartbeat(h *framer.Heartbeat) *framer.Ack {
 	return d.leader.Hear(d.Self(), nil, h)
 }
 
-// welcome tells a new link what is free here, and of the requests that crash upstreams.
-func (d *Daemon) welcome(s *linker.Session) {
+// sendInitialState sends the suspects of the quarantine and the free slots of every
+// pool over a new link.
+func (d *Daemon) sendInitialState(s *linker.Session) {
 	if err := s.Send(framer.KindSuspects, suspectsFrame(d.quarantine.All(), true)); err != nil {
 		s.Close()
 		return
@@ -176,15 +179,15 @@
 	}
 }
 
-func (d *Daemon) headRefused(k pipeliner.Kind) {
+func (d *Daemon) countRefusedHead(k pipeliner.Kind) {
 	d.meter.Count("heads_refused", measurer.Labels{Kind: string(k)})
 }
 
-func (d *Daemon) handlerFailed(reason any) {
+func (d *Daemon) logHandlerPanic(reason any) {
 	d.log.WithField("reason", reason).Error("request handler panicked")
 }
 
-func (d *Daemon) probed(k pooler.Key, _ string, ok bool) {
+func (d *Daemon) countProbe(k pooler.Key, _ string, ok bool) {
 	kind := "ok"
 	if !ok {
 		kind = "failed"
@@ -192,15 +195,15 @@
 	d.meter.Count("probes", measurer.Labels{Service: string(k.Service), Kind: kind})
 }
 
-// announcer tells free slots to other daemons, many changes at a time.
+// announcer announces free slots to other daemons in batches.
 type announcer struct {
 	lock  sync.Mutex
 	dirty map[pooler.Key]struct{}
 	wake  chan struct{}
 }
 
-// mark notes that the free slots of a pool changed.
-func (a *announcer) mark(k pooler.Key) {
+// markDirty records that the free slots of a pool changed and wakes the loop.
+func (a *announcer) markDirty(k pooler.Key) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	if a.dirty == nil {
@@ -208,19 +211,19 @@
 	}
 	a.dirty[k] = struct{}{}
 	select {
-	case a.channel() <- struct{}{}:
+	case a.wakeChannel() <- struct{}{}:
 	default:
 	}
 }
 
-func (a *announcer) channel() chan struct{} {
+func (a *announcer) wakeChannel() chan struct{} {
 	if a.wake == nil {
 		a.wake = make(chan struct{}, 1)
 	}
 	return a.wake
 }
 
-func (a *announcer) take() map[pooler.Key]struct{} {
+func (a *announcer) takeDirty() map[pooler.Key]struct{} {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	out := a.dirty
@@ -230,7 +233,7 @@
 
 func (a *announcer) loop(ctx context.Context, o *pooler.Owner, m *linker.Manager) {
 	a.lock.Lock()
-	wake := a.channel()
+	wake := a.wakeChannel()
 	a.lock.Unlock()
 	for {
 		select {
@@ -238,20 +241,20 @@
 			return
 		case <-wake:
 		}
-		pause := announceEvery
-		for k := range a.take() {
+		pause := announceInterval
+		for k := range a.takeDirty() {
 			free, slots := o.Free(k)
 			if !m.Announce(k, free, slots) {
-				a.mark(k)
-				pause = announceLater
+				a.markDirty(k)
+				pause = announceRetryDelay
 			}
 		}
 		time.Sleep(pause)
 	}
 }
 
-// quietLog keeps what the HTTP server says about single connections at debug
-// level: such things are counted.
-func quietLog(l *logrus.Entry) *log.Logger {
+// debugLogger returns a logger for the HTTP server that writes at debug level: its
+// messages concern single connections, which are counted rather than logged.
+func debugLogger(l *logrus.Entry) *log.Logger {
 	return log.New(l.WriterLevel(logrus.DebugLevel), "", 0)
 }
--- a/internal/process/runner/daemon.go
+++ b/internal/process/runner/daemon.go
@@ -46,43 +46,43 @@
 const (
 	incarnationBytes = 8
 
-	settingsPrefix = "Settings/"
-	leadPrefix     = "Lease/Lead/"
+	settingsPrefix    = "Settings/"
+	leaderLeasePrefix = "Lease/Lead/"
 
-	// headTimeout bounds how long a caller may take to send a head.
+	// headTimeout bounds how long a caller may take to send the head of a request.
 	headTimeout = 10 * timekeeper.Second
 
-	// idleTimeout ends connections that callers no longer use.
+	// idleTimeout is how long an idle connection from a caller is kept open.
 	idleTimeout = 2 * timekeeper.Minute
 
-	// maxHeadBytes bounds the head of a request.
+	// maxHeadBytes bounds the size of a request's head.
 	maxHeadBytes = 64 << 10
 
-	// forever keeps go-zero from killing the process while a planned stop
-	// waits for requests in flight.
-	forever = 100 * 365 * 24 * time.Hour
+	// forceQuitDelay is long enough that go-zero never kills the process while a
+	// planned stop waits for requests in flight.
+	forceQuitDelay = 100 * 365 * 24 * time.Hour
 )
 
 type (
-	// Options is what a daemon is made of besides its settings file.
+	// Options configures a daemon.
 	Options struct {
 		Config configurer.Config
 		Log    *logrus.Logger
 		Clock  timekeeper.Clock
-		// Dial connects to other daemons. Nil means TCP.
+		// Dial connects to other daemons. Nil means plain TCP.
 		Dial func(ctx context.Context, address string) (net.Conn, error)
-		// WrapCallers may wrap the listener for callers. Nil leaves it.
+		// WrapCallers wraps the listener for callers. Nil means no wrapping.
 		WrapCallers func(net.Listener) net.Listener
 	}
 
-	// server is one listener's server.
+	// server holds the functions that run and stop the server of one listener.
 	server struct {
 		serve    func(net.Listener) error
 		shutdown func(context.Context) error
 		close    func()
 	}
 
-	// Daemon is one entry daemon. Build it with New, then call Start.
+	// Daemon is an entry daemon. Create it with New, then call Start.
 	Daemon struct {
 		config  configurer.Config
 		clock   timekeeper.Clock
@@ -93,19 +93,19 @@
 		base   context.Context
 		cancel context.CancelFunc
 
-		callers net.Listener
-		linked  net.Listener
-		// encrypter is nil when links are not encrypted.
-		encrypter *encrypter.Encrypter
-		pacer     pacer.Pacer
-		operators net.Listener
-		servers   []server
+		callerListener net.Listener
+		linkListener   net.Listener
+		// encrypter is nil if links are not encrypted.
+		encrypter        *encrypter.Encrypter
+		pacer            pacer.Pacer
+		operatorListener net.Listener
+		servers          []server
 
 		self     registrar.Member
 		leaving  atomic.Bool
 		snapshot atomic.Pointer[steerer.Snapshot]
 		rebuild  chan struct{}
-		versions versions
+		inputs   snapshotInputs
 
 		meter     *measurer.Meter
 		store     *storer.Client
@@ -121,31 +121,31 @@
 		looker    *looker.Looker
 		changer   *changer.Changer
 		announcer announcer
-		// measured is when loads were last reported, reported what was then.
-		// Only the goroutine that beats uses them.
-		measured timekeeper.Millis
-		reported map[pooler.Key]int
-		suspects suspects
-		// quarantine knows requests that crash upstreams, found holds what is to be told of
-		// them.
-		quarantine *quarantiner.Quarantiner
-		found      chan quarantiner.Change
+		// lastReport is when loads were last reported, and reportedBusy the busy slots
+		// then. Only the goroutine that sends heartbeats uses them.
+		lastReport   timekeeper.Millis
+		reportedBusy map[pooler.Key]int
+		unreachable  unreachableMembers
+		// quarantine tracks requests that crash upstreams; suspectChanges queues the
+		// changes to send to other daemons.
+		quarantine     *quarantiner.Quarantiner
+		suspectChanges chan quarantiner.Change
 
 		stopped sync.Once
 	}
 )
 
-// New binds the listeners and puts the parts together. Nothing runs yet; on an
-// error nothing stays bound.
+// New binds the listeners and assembles the daemon without starting it. On error it
+// closes all listeners.
 func New(o Options) (*Daemon, error) {
-	proc.SetTimeToForceQuit(forever)
+	proc.SetTimeToForceQuit(forceQuitDelay)
 	d := &Daemon{
-		config:   o.Config,
-		clock:    o.Clock,
-		log:      o.Log.WithField("daemon", o.Config.Name),
-		options:  o,
-		rebuild:  make(chan struct{}, 1),
-		reported: map[pooler.Key]int{},
+		config:       o.Config,
+		clock:        o.Clock,
+		log:          o.Log.WithField("daemon", o.Config.Name),
+		options:      o,
+		rebuild:      make(chan struct{}, 1),
+		reportedBusy: map[pooler.Key]int{},
 	}
 	d.base, d.cancel = context.WithCancel(context.Background())
 	if err := d.listen(); err != nil {
@@ -153,7 +153,7 @@
 		d.cancel()
 		return nil, err
 	}
-	if err := d.encrypt(); err != nil {
+	if err := d.enableLinkTLS(); err != nil {
 		d.closeListeners()
 		d.cancel()
 		return nil, err
@@ -162,15 +162,15 @@
 		Incarnation: newIncarnation(),
 		Name:        o.Config.Name,
 		Site:        o.Config.Site(),
-		Callers:     or(o.Config.AdvertiseCallers, d.callers.Addr().String()),
-		Links:       or(o.Config.AdvertiseLinks, d.linked.Addr().String()),
-		Operators:   d.operators.Addr().String(),
+		Callers:     firstNonEmpty(o.Config.AdvertiseCallers, d.callerListener.Addr().String()),
+		Links:       firstNonEmpty(o.Config.AdvertiseLinks, d.linkListener.Addr().String()),
+		Operators:   d.operatorListener.Addr().String(),
 	}
 	d.assemble()
 	return d, nil
 }
 
-func or(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
@@ -185,37 +185,37 @@
 
 func (d *Daemon) listen() error {
 	for _, l := range []struct {
-		to      *net.Listener
-		name    string
-		address string
+		listener *net.Listener
+		name     string
+		address  string
 	}{
-		{&d.callers, "Callers", d.config.Callers},
-		{&d.linked, "Links", d.config.Links},
-		{&d.operators, "Operators", d.config.Operators},
+		{&d.callerListener, "Callers", d.config.Callers},
+		{&d.linkListener, "Links", d.config.Links},
+		{&d.operatorListener, "Operators", d.config.Operators},
 	} {
 		var err error
-		if *l.to, err = net.Listen("tcp", l.address); err != nil {
+		if *l.listener, err = net.Listen("tcp", l.address); err != nil {
 			return eris.Wrapf(err, "%s = %q", l.name, l.address)
 		}
 	}
 	return nil
 }
 
-// encrypt puts links under TLS when the settings name its files.
-func (d *Daemon) encrypt() error {
+// enableLinkTLS enables TLS on links if the settings file names the TLS files.
+func (d *Daemon) enableLinkTLS() error {
 	if d.config.LinkTLS == (encrypter.Files{}) {
 		return nil
 	}
-	d.encrypter = &encrypter.Encrypter{Files: d.config.LinkTLS, Reloaded: d.keysReloaded}
+	d.encrypter = &encrypter.Encrypter{Files: d.config.LinkTLS, Reloaded: d.logKeyReload}
 	if err := d.encrypter.Load(); err != nil {
 		return err
 	}
-	d.linked = d.encrypter.Listener(d.linked)
+	d.linkListener = d.encrypter.Listener(d.linkListener)
 	d.options.Dial = d.encrypter.Dial
 	return nil
 }
 
-func (d *Daemon) keysReloaded(err error) {
+func (d *Daemon) logKeyReload(err error) {
 	if err != nil {
 		d.log.WithError(err).Warn("keys of links not reloaded, the former stay in use")
 		return
@@ -224,32 +224,32 @@
 }
 
 func (d *Daemon) closeListeners() {
-	for _, l := range []net.Listener{d.callers, d.linked, d.operators} {
+	for _, l := range []net.Listener{d.callerListener, d.linkListener, d.operatorListener} {
 		if l != nil {
 			l.Close()
 		}
 	}
 }
 
-// assemble makes the parts and connects them.
+// assemble creates the components and connects them.
 func (d *Daemon) assemble() {
 	d.meter = measurer.New()
 	d.store = &storer.Client{Address: d.config.PlatformAddress, Token: d.config.PlatformToken}
 	d.records = &recorder.Log{Store: d.store, Prefix: settingsPrefix}
 	d.applier = &applier.Applier{}
-	d.replica = &replicator.Replica{Changed: d.objectsChanged}
-	d.owner = &pooler.Owner{Clock: d.clock, Changed: d.announcer.mark, Probed: d.probed}
+	d.replica = &replicator.Replica{Changed: d.applyObjects}
+	d.owner = &pooler.Owner{Clock: d.clock, Changed: d.announcer.markDirty, Probed: d.countProbe}
 	d.links = &linker.Manager{
 		Clock:    d.clock,
 		Self:     d.Self,
 		Dial:     d.options.Dial,
-		Control:  d.control,
+		Control:  d.handleControl,
 		Closed:   func(s *linker.Session) { d.leader.Gone(d.base, s) },
-		Accepted: d.welcome,
+		Accepted: d.sendInitialState,
 	}
 	lease := &leaser.Lease{
 		Store:   d.store,
-		Name:    leadPrefix + d.config.Region,
+		Name:    leaderLeasePrefix + d.config.Region,
 		Holder:  string(d.self.Incarnation),
 		Address: d.self.Links,
 		Clock:   d.clock,
@@ -270,10 +270,10 @@
 		Self:     d.Self,
 		Lease:    lease,
 		Links:    d.links,
-		Beat:     d.beat,
+		Beat:     d.fillHeartbeat,
 		Lead:     func(f leaser.Fence, held bool) { d.leader.Lead(d.base, f, held) },
-		SelfBeat: d.selfBeat,
-		Shun:     d.shunsLead,
+		SelfBeat: d.handleOwnHeartbeat,
+		Shun:     d.avoidsLeading,
 	}
 	d.owner.Valid = d.joiner.Valid
 	d.quarantine = d.newQuarantine()
@@ -294,25 +294,25 @@
 	d.owner.Admit = d.forwarder.Admit
 	d.links.Serve = d.forwarder.RunLinked
 	d.links.FreeOf = d.owner.Free
-	d.links.Pace = d.pace
+	d.links.Pace = d.paceExport
 	d.looker = &looker.Looker{Snapshot: d.snapshot.Load, Meter: d.meter}
 	d.changer = &changer.Changer{
-		Clock:    d.clock,
-		Log:      d.records,
-		Applier:  d.applier,
-		Guard:    d.guard,
-		Advanced: d.trigger,
+		Clock:         d.clock,
+		Log:           d.records,
+		Applier:       d.applier,
+		CheckOverload: d.checkOverload,
+		OnAdvance:     d.triggerRebuild,
 	}
 }
 
-// Self describes this daemon as it is now.
+// Self returns the current description of this daemon as a member.
 func (d *Daemon) Self() registrar.Member {
 	m := d.self
 	m.Leaving = d.leaving.Load()
 	return m
 }
 
-// Start runs the daemon. It takes no work before it has settings.
+// Start starts the daemon. It accepts no requests until it has settings.
 func (d *Daemon) Start() error {
 	d.started = d.clock.Now()
 	if err := d.serve(); err != nil {
@@ -325,34 +325,34 @@
 		"site":        d.self.Site,
 		"callers":     d.self.Callers,
 		"links":       d.self.Links,
-		"linksBound":  d.linked.Addr().String(),
+		"linksBound":  d.linkListener.Addr().String(),
 		"operators":   d.self.Operators,
 	}).Info("started")
 	d.leader.Start()
 	if d.encrypter != nil {
 		go d.encrypter.Run(d.base)
 	}
-	go d.links.Accept(d.base, d.linked)
+	go d.links.Accept(d.base, d.linkListener)
 	go d.run()
 	return nil
 }
 
-// run brings the daemon up: settings first, then membership, then work.
+// run reads the settings, then joins the fleet and starts the background loops.
 func (d *Daemon) run() {
-	if !d.syncFirst(d.base) {
+	if !d.syncInitial(d.base) {
 		return
 	}
 	d.joiner.Start(d.base)
 	go d.loopRebuild(d.base)
-	d.trigger()
+	d.triggerRebuild()
 	go d.claimer.Run(d.base)
 	go d.owner.RunUpkeep(d.base)
 	go d.announcer.loop(d.base, d.owner, d.links)
 	go d.loopPoll(d.base)
 	go d.loopBlocks(d.base)
-	go d.loopTidy(d.base)
+	go d.loopCloseIdleLinks(d.base)
 	go d.loopGauges(d.base)
-	go d.loopSuspect(d.base)
+	go d.loopReachability(d.base)
 	go d.loopSuspects(d.base)
 }
 
@@ -365,34 +365,34 @@
 	if err != nil {
 		return err
 	}
-	front := &pipeliner.Server{
+	callerServer := &pipeliner.Server{
 		Handler:      callers,
 		MayOverlap:   d.forwarder.MayOverlap,
 		Leaving:      d.leaving.Load,
 		HeadTimeout:  func() timekeeper.Millis { return headTimeout },
 		IdleTimeout:  func() timekeeper.Millis { return idleTimeout },
 		MaxHeadBytes: maxHeadBytes,
-		Refused:      d.headRefused,
-		Failed:       d.handlerFailed,
+		Refused:      d.countRefusedHead,
+		Failed:       d.logHandlerPanic,
 		Clock:        d.clock,
 	}
-	l := d.callers
+	l := d.callerListener
 	if d.options.WrapCallers != nil {
 		l = d.options.WrapCallers(l)
 	}
-	d.start(server{front.Serve, front.Shutdown, front.Close}, l)
-	back := &http.Server{
+	d.startServer(server{callerServer.Serve, callerServer.Shutdown, callerServer.Close}, l)
+	operatorServer := &http.Server{
 		Handler:           operators,
 		ReadHeaderTimeout: headTimeout.Duration(),
 		IdleTimeout:       idleTimeout.Duration(),
 		MaxHeaderBytes:    maxHeadBytes,
-		ErrorLog:          quietLog(d.log),
+		ErrorLog:          debugLogger(d.log),
 	}
-	d.start(server{back.Serve, back.Shutdown, func() { _ = back.Close() }}, d.operators)
+	d.startServer(server{operatorServer.Serve, operatorServer.Shutdown, func() { _ = operatorServer.Close() }}, d.operatorListener)
 	return nil
 }
 
-func (d *Daemon) start(s server, l net.Listener) {
+func (d *Daemon) startServer(s server, l net.Listener) {
 	d.servers = append(d.servers, s)
 	go d.runServer(s, l)
 }
@@ -403,7 +403,8 @@
 	}
 }
 
-// callersHandler serves look-ups and forwards everything else.
+// callersHandler returns a handler that serves lookups, outcomes and health, and
+// forwards all other requests.
 func (d *Daemon) callersHandler() (http.Handler, error) {
 	return router.New(router.Options{
 		Name: "callers",
@@ -450,7 +451,7 @@
 	return keykeeper.DefaultRetention
 }
 
-// healthy tells whether the daemon takes new work.
+// healthy reports whether the daemon accepts new requests and, if not, why.
 func (d *Daemon) healthy() (bool, string) {
 	switch {
 	case d.leaving.Load():
--- a/internal/process/runner/doc.go
+++ b/internal/process/runner/doc.go
@@ -1,3 +1,3 @@
-// Package runner puts the parts of a daemon together, starts them, and stops
-// them in the order that cuts no request.
+// Package runner assembles and starts the components of a daemon, and stops them in
+// an order that cuts no request.
 package runner
--- a/internal/process/runner/gauges.go
+++ b/internal/process/runner/gauges.go
@@ -10,14 +10,14 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-const gaugeEvery = time.Second
+const gaugeInterval = time.Second
 
-// loopGauges shows the state of the daemon beside its counters.
+// loopGauges updates the gauges of the daemon's state.
 func (d *Daemon) loopGauges(ctx context.Context) {
-	timekeeper.Every(ctx, gaugeEvery, d.gauges)
+	timekeeper.Every(ctx, gaugeInterval, d.setGauges)
 }
 
-func (d *Daemon) gauges() {
+func (d *Daemon) setGauges() {
 	s := d.snapshot.Load()
 	if s == nil {
 		return
@@ -30,8 +30,8 @@
 		"settings_rejected": float64(d.applier.Rejected()),
 		"in_flight":         float64(d.forwarder.InFlight()),
 		"invariants_broken": float64(d.leader.Broken()),
-		"member_valid":      one(d.joiner.Valid()),
-		"lead":              one(leads),
+		"member_valid":      boolGauge(d.joiner.Valid()),
+		"lead":              boolGauge(leads),
 		"link_bytes_in":     float64(c.LinkBytesIn),
 		"link_bytes_out":    float64(c.LinkBytesOut),
 		"platform_reads":    float64(c.PlatformReads),
@@ -48,12 +48,12 @@
 		left := d.encrypter.Left(d.clock.WallNow())
 		d.meter.Gauge("link_certificate_seconds_left", measurer.Labels{}, left.Duration().Seconds())
 	}
-	d.poolGauges(s)
+	d.setPoolGauges(s)
 }
 
-// poolGauges shows the pools of the daemon, and zeros for the services of its
-// site of which it owns nothing.
-func (d *Daemon) poolGauges(s *steerer.Snapshot) {
+// setPoolGauges sets the gauges of the daemon's pools, and zeros for services of its
+// site for which it owns no pool.
+func (d *Daemon) setPoolGauges(s *steerer.Snapshot) {
 	pools := d.owner.Pools()
 	for _, name := range s.Settings.Services {
 		k := pooler.Key{Site: d.self.Site, Service: name}
@@ -74,7 +74,7 @@
 	}
 }
 
-func one(b bool) float64 {
+func boolGauge(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/process/runner/pace.go
+++ b/internal/process/runner/pace.go
@@ -8,18 +8,18 @@
 	"github.com/gullvale/gullvale/pkg/registrar"
 )
 
-// pace holds exports back that leave the region. The daemons of a region share what
-// its exports may send to another: each takes its part, without asking the others.
-func (d *Daemon) pace(ctx context.Context, to registrar.Member, c *exchanger.Call, bytes int) error {
-	here, there := d.self.Site.Region(), to.Site.Region()
+// paceExport limits the rate of exports to another region. The daemons of a region
+// share its export rate equally, without coordination.
+func (d *Daemon) paceExport(ctx context.Context, to registrar.Member, c *exchanger.Call, bytes int) error {
+	region, target := d.self.Site.Region(), to.Site.Region()
 	s := d.snapshot.Load()
-	if s == nil || here == there {
+	if s == nil || region == target {
 		return nil
 	}
 	set := s.Settings.At(c.Site, c.Service)
 	if set == nil || set.Class != resolver.ClassExport || set.ExportRate == 0 {
 		return nil
 	}
-	sharing := max(len(s.View.Region(here)), 1)
-	return d.pacer.Wait(ctx, there, set.ExportRate/int64(sharing), bytes)
+	daemons := max(len(s.View.Region(region)), 1)
+	return d.pacer.Wait(ctx, target, set.ExportRate/int64(daemons), bytes)
 }
--- a/internal/process/runner/quarantine.go
+++ b/internal/process/runner/quarantine.go
@@ -15,47 +15,49 @@
 )
 
 const (
-	// suspectQueue is how many changes wait to be told. What finds no room is told when a
-	// link is made anew.
-	suspectQueue = 1024
+	// suspectQueueLength is how many changes may wait to be sent to other daemons.
+	// Further changes are dropped; a new link carries all suspects.
+	suspectQueueLength = 1024
 
-	// tellTime is how long a link to another region may take to stand.
-	tellTime = 2 * time.Second
+	// notifyTimeout bounds the wait for a link to another region.
+	notifyTimeout = 2 * time.Second
 )
 
-// newQuarantine returns the suspects of this daemon.
+// newQuarantine returns the quarantine of this daemon and creates its change queue.
 func (d *Daemon) newQuarantine() *quarantiner.Quarantiner {
-	d.found = make(chan quarantiner.Change, suspectQueue)
-	return &quarantiner.Quarantiner{Clock: d.clock, Changed: d.foundSuspect, MayTry: d.mayTry}
+	d.suspectChanges = make(chan quarantiner.Change, suspectQueueLength)
+	return &quarantiner.Quarantiner{Clock: d.clock, Changed: d.queueSuspect, MayTry: d.allowTrial}
 }
 
-// foundSuspect queues what this daemon found out for the others.
-func (d *Daemon) foundSuspect(c quarantiner.Change) {
+// queueSuspect queues a change found by this daemon for the other daemons. It drops the
+// change if the queue is full.
+func (d *Daemon) queueSuspect(c quarantiner.Change) {
 	select {
-	case d.found <- c:
+	case d.suspectChanges <- c:
 	default:
-		d.log.Debug("suspect not told")
+		d.log.Debug("suspect change dropped: queue full")
 	}
 }
 
-// loopSuspects tells the other daemons what this one found out. Each passes on what is news to
-// it, so all learn of it whoever is linked to whom.
+// loopSuspects sends the changes found by this daemon to the others. Each daemon
+// forwards what is new to it, so changes reach daemons without a direct link.
 func (d *Daemon) loopSuspects(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-d.found:
-			d.noteSuspect(c)
+		case c := <-d.suspectChanges:
+			d.logSuspectChange(c)
 			m := suspectsFrame([]quarantiner.Suspect{c.Now}, false)
 			d.links.Broadcast(framer.KindSuspects, m, nil)
-			d.tellRegions(ctx, m)
+			d.notifyRegions(ctx, m)
 		}
 	}
 }
 
-// tellRegions tells one daemon of each other region, to which there may be no link yet.
-func (d *Daemon) tellRegions(ctx context.Context, m *framer.Suspects) {
+// notifyRegions sends m to one random daemon of each other region, opening a link if
+// there is none.
+func (d *Daemon) notifyRegions(ctx context.Context, m *framer.Suspects) {
 	s := d.snapshot.Load()
 	if s == nil {
 		return
@@ -67,16 +69,16 @@
 		}
 	}
 	for _, members := range others {
-		go d.runTell(ctx, members[rand.IntN(len(members))], m)
+		go d.runNotify(ctx, members[rand.IntN(len(members))], m)
 	}
 }
 
-func (d *Daemon) runTell(ctx context.Context, to registrar.Member, m *framer.Suspects) {
-	wait, cancel := context.WithTimeout(ctx, tellTime)
+func (d *Daemon) runNotify(ctx context.Context, to registrar.Member, m *framer.Suspects) {
+	wait, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	p := d.links.Peer(d.base, to)
 	if !p.Await(wait) || !p.Send(framer.KindSuspects, m) {
-		d.log.WithField("peer", to.Name).Debug("suspect not told to a region")
+		d.log.WithField("peer", to.Name).Debug("cannot send suspects to another region")
 	}
 }
 
@@ -84,24 +86,24 @@
 	return &framer.Suspects{Packed: quarantiner.Pack(list), Full: full}
 }
 
-// suspectsHeard takes what another daemon knows, passes on what is news, and answers with what
-// is newer here.
-func (d *Daemon) suspectsHeard(s *linker.Session, m *framer.Suspects) error {
+// handleSuspects merges the suspects of another daemon, forwards those that are new
+// here, and replies with those of which this daemon has newer state.
+func (d *Daemon) handleSuspects(s *linker.Session, m *framer.Suspects) error {
 	list, err := quarantiner.Unpack(m.Packed)
 	if err != nil {
 		return err
 	}
 	adopted, newer := d.quarantine.Learn(list)
-	var news []quarantiner.Suspect
+	var added []quarantiner.Suspect
 	for _, c := range adopted {
-		d.noteSuspect(c)
-		news = append(news, c.Now)
+		d.logSuspectChange(c)
+		added = append(added, c.Now)
 	}
-	if len(news) > 0 {
-		d.links.Broadcast(framer.KindSuspects, suspectsFrame(news, false), s)
+	if len(added) > 0 {
+		d.links.Broadcast(framer.KindSuspects, suspectsFrame(added, false), s)
 	}
 	if m.Full {
-		newer = append(newer, missing(d.quarantine.All(), list)...)
+		newer = append(newer, difference(d.quarantine.All(), list)...)
 	}
 	if len(newer) == 0 {
 		return nil
@@ -109,8 +111,8 @@
 	return s.Send(framer.KindSuspects, suspectsFrame(newer, false))
 }
 
-// missing returns those of all that are not in list.
-func missing(all, list []quarantiner.Suspect) (out []quarantiner.Suspect) {
+// difference returns the suspects of all that are not in list.
+func difference(all, list []quarantiner.Suspect) (out []quarantiner.Suspect) {
 	known := map[quarantiner.Fingerprint]bool{}
 	for _, s := range list {
 		known[s.Fingerprint] = true
@@ -123,22 +125,23 @@
 	return out
 }
 
-// noteSuspect writes a line for a request that came into quarantine or left it.
-func (d *Daemon) noteSuspect(c quarantiner.Change) {
+// logSuspectChange logs that a request entered or left quarantine.
+func (d *Daemon) logSuspectChange(c quarantiner.Change) {
 	switch {
 	case c.Quarantined():
-		d.logSuspect(c.Now).Warn("request quarantined")
+		d.suspectLogEntry(c.Now).Warn("request quarantined")
 	case c.Released():
-		d.logSuspect(c.Before).Warn("request released")
+		d.suspectLogEntry(c.Before).Warn("request released")
 	}
 }
 
-func (d *Daemon) logSuspect(s quarantiner.Suspect) *logrus.Entry {
+func (d *Daemon) suspectLogEntry(s quarantiner.Suspect) *logrus.Entry {
 	return d.log.WithFields(logrus.Fields{"fingerprint": s.Fingerprint.String(), "crashes": s.Crashes, "seen": int64(s.Age)})
 }
 
-// mayTry tells whether it is this daemon's turn among all members.
-func (d *Daemon) mayTry(f quarantiner.Fingerprint, over timekeeper.Millis) bool {
+// allowTrial reports whether it is this daemon's turn among all members to let a
+// request through whose quarantine has been over for the given time.
+func (d *Daemon) allowTrial(f quarantiner.Fingerprint, over timekeeper.Millis) bool {
 	var names []string
 	if s := d.snapshot.Load(); s != nil {
 		for _, m := range s.View.Members() {
--- a/internal/process/runner/status.go
+++ b/internal/process/runner/status.go
@@ -15,11 +15,11 @@
 	"github.com/gullvale/gullvale/pkg/storer"
 )
 
-const mostSummaries = 100
+const maxSummaries = 100
 
-// summaries reads what the leads told last.
+// summaries reads the latest summary of each region's leader from the platform.
 func (d *Daemon) summaries(ctx context.Context) ([]leader.Summary, error) {
-	b, err := d.store.List(ctx, leader.SummaryPrefix, "", mostSummaries)
+	b, err := d.store.List(ctx, leader.SummaryPrefix, "", maxSummaries)
 	if err != nil {
 		return nil, err
 	}
@@ -32,8 +32,8 @@
 	return out, nil
 }
 
-// members counts the members on all rosters.
-func (d *Daemon) members() int {
+// memberCount returns the number of members on all rosters.
+func (d *Daemon) memberCount() int {
 	s := d.snapshot.Load()
 	if s == nil {
 		return 0
@@ -42,7 +42,7 @@
 }
 
 func (d *Daemon) inForce(ctx context.Context, n recorder.Number) (operator.InForceAnswer, error) {
-	a := operator.InForceAnswer{Number: n, Members: d.members()}
+	a := operator.InForceAnswer{Number: n, Members: d.memberCount()}
 	all, err := d.summaries(ctx)
 	if err != nil {
 		return a, err
@@ -85,13 +85,13 @@
 	return st
 }
 
-// ownStatus describes this daemon itself.
+// ownStatus returns the part of the status that concerns only this daemon.
 func (d *Daemon) ownStatus() operator.Status {
 	fence, leads := d.leader.Lease.Held()
 	st := operator.Status{
 		Daemon:      d.self.Name,
 		Site:        d.self.Site,
-		Members:     d.members(),
+		Members:     d.memberCount(),
 		Lead:        leads,
 		LeadReached: leads || d.joiner.LeadHealthy(),
 		Valid:       d.joiner.Valid(),
@@ -120,7 +120,7 @@
 	return out
 }
 
-// shiftStatus tells how far a shift has come.
+// shiftStatus returns the progress of a shift.
 func shiftStatus(s *steerer.Snapshot, x resolver.Shift) operator.ShiftStatus {
 	have := s.Plan.Shift(x.Service, x.From, x.To).Moved
 	return operator.ShiftStatus{Service: x.Service, From: x.From, To: x.To, Want: x.Share, Have: have}
@@ -166,22 +166,22 @@
 	}
 }
 
-// outlook works out headroom and losses by the load that the leads told.
+// outlook computes headroom and losses from the load that the leaders reported.
 func (d *Daemon) outlook(ctx context.Context) (operator.Outlook, error) {
 	s := d.snapshot.Load()
 	if s == nil {
 		return operator.Outlook{}, storer.ErrNotFound
 	}
-	load, err := d.load(ctx)
+	load, err := d.totalLoad(ctx)
 	if err != nil {
 		return operator.Outlook{}, err
 	}
-	losses, rooms := planner.Losses(s.Settings, load, d.clock.WallNow())
-	return operator.Outlook{Headroom: rooms, Losses: losses}, nil
+	losses, headroom := planner.Losses(s.Settings, load, d.clock.WallNow())
+	return operator.Outlook{Headroom: headroom, Losses: losses}, nil
 }
 
-// load adds up what the leads told.
-func (d *Daemon) load(ctx context.Context) (planner.Load, error) {
+// totalLoad sums the load that the leaders reported.
+func (d *Daemon) totalLoad(ctx context.Context) (planner.Load, error) {
 	var load planner.Load
 	all, err := d.summaries(ctx)
 	for _, s := range all {
@@ -190,14 +190,15 @@
 	return load, err
 }
 
-// guard finds what a tree would overload, by the load that the leads told. In
-// an outage of the platform no change can be recorded anyway.
-func (d *Daemon) guard(t resolver.Tree) ([]planner.Use, parser.Problems) {
+// checkOverload predicts the use of sites under a tree and lists what it would overload,
+// based on the load that the leaders reported. It fails during an outage of the
+// platform, in which no change can be recorded either.
+func (d *Daemon) checkOverload(t resolver.Tree) ([]planner.Use, parser.Problems) {
 	ctx, cancel := context.WithTimeout(d.base, peerTimeout)
 	defer cancel()
-	load, err := d.load(ctx)
+	load, err := d.totalLoad(ctx)
 	if err != nil {
-		return nil, parser.Problems{{Text: fmt.Sprintf("the load is not known: %v", err)}}
+		return nil, parser.Problems{{Text: fmt.Sprintf("cannot read the current load: %v", err)}}
 	}
 	next := t.Resolve()
 	wall := d.clock.WallNow()
--- a/internal/process/runner/stop.go
+++ b/internal/process/runner/stop.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	stopTick = 20 * time.Millisecond
+	stopPollInterval = 20 * time.Millisecond
 
-	// announceLimit bounds the wait until the fleet knows that this daemon
-	// leaves. In an outage of the platform it will not know.
-	announceLimit = 10 * timekeeper.Second
+	// announceTimeout bounds the wait until the rosters show that this daemon leaves.
+	// During an outage of the platform they never do.
+	announceTimeout = 10 * timekeeper.Second
 
-	// lookupMargin is added to the lifetime of look-ups before the listener
+	// lookupMargin is the time added to the lifetime of lookups before the listener
 	// closes.
 	lookupMargin = 300 * timekeeper.Millis(1)
 
 	releaseTimeout = 2 * time.Second
 )
 
-// Stop leaves the fleet so that no request is cut: it tells the fleet, goes on
-// serving callers whose look-ups still name it, hands its upstreams over, and
-// waits for what is in flight. When ctx ends, it stops waiting.
+// Stop leaves the fleet without cutting requests: it announces that it leaves, keeps
+// serving callers whose lookups still name it, hands its upstreams over, and waits for
+// requests in flight. When ctx ends, it stops waiting.
 func (d *Daemon) Stop(ctx context.Context) {
 	d.stopped.Do(func() { d.stop(ctx) })
 }
@@ -41,26 +41,26 @@
 	d.log.WithField("inFlight", d.forwarder.InFlight()).Info("leaving")
 	if s := d.snapshot.Load(); s != nil {
 		d.joiner.Poke()
-		d.until(ctx, began+announceLimit, d.announced)
-		d.until(ctx, d.clock.Now()+d.longestLifetime()+lookupMargin, func() bool { return false })
+		d.waitUntil(ctx, began+announceTimeout, d.leavingAnnounced)
+		d.waitUntil(ctx, d.clock.Now()+d.maxLookupLifetime()+lookupMargin, func() bool { return false })
 	}
 	d.drain(ctx)
-	d.release()
+	d.releaseLease()
 	d.cancel()
 	d.closeListeners()
 	d.meter.Close()
 	d.log.WithField("took", (d.clock.Now() - began).String()).Info("stopped")
 }
 
-// announced tells whether the rosters show that this daemon leaves.
-func (d *Daemon) announced() bool {
+// leavingAnnounced reports whether the rosters show that this daemon leaves.
+func (d *Daemon) leavingAnnounced() bool {
 	m, ok := d.snapshot.Load().View.Find(d.self.Incarnation)
 	return !ok || m.Leaving
 }
 
-// shunsLead tells that another daemon should take the lead: this one leaves and
-// there is one that stays.
-func (d *Daemon) shunsLead() bool {
+// avoidsLeading reports whether another daemon should become leader: this one is
+// leaving and another member of the region is not.
+func (d *Daemon) avoidsLeading() bool {
 	if !d.leaving.Load() {
 		return false
 	}
@@ -72,8 +72,9 @@
 	return false
 }
 
-// longestLifetime is how long a caller may go by the answer to a look-up.
-func (d *Daemon) longestLifetime() timekeeper.Millis {
+// maxLookupLifetime returns the longest time for which a caller may use the response
+// to a lookup.
+func (d *Daemon) maxLookupLifetime() timekeeper.Millis {
 	settings, _ := d.settings()
 	var longest timekeeper.Millis
 	for _, site := range settings.Sites {
@@ -84,9 +85,9 @@
 	return longest
 }
 
-// until waits for a condition, a reading of the clock, or the end of ctx.
-func (d *Daemon) until(ctx context.Context, end timekeeper.Millis, done func() bool) {
-	t := time.NewTicker(stopTick)
+// waitUntil waits until done returns true, the clock reaches end, or ctx ends.
+func (d *Daemon) waitUntil(ctx context.Context, end timekeeper.Millis, done func() bool) {
+	t := time.NewTicker(stopPollInterval)
 	defer t.Stop()
 	for !done() && d.clock.Now() < end {
 		select {
@@ -97,8 +98,8 @@
 	}
 }
 
-// drain waits for the requests of callers, then for those that other daemons
-// handed over.
+// drain shuts the servers down, waiting for the requests of callers, and then waits
+// for the requests handed over by other daemons.
 func (d *Daemon) drain(ctx context.Context) {
 	for _, s := range d.servers {
 		if err := s.shutdown(ctx); err != nil {
@@ -106,20 +107,21 @@
 			s.close()
 		}
 	}
-	const endless = 1 << 62
-	d.until(ctx, endless, func() bool { return d.forwarder.InFlight() == 0 })
+	const noDeadline = 1 << 62
+	d.waitUntil(ctx, noDeadline, func() bool { return d.forwarder.InFlight() == 0 })
 }
 
-// release gives the lead back, so that the next need not wait for it to lapse.
-func (d *Daemon) release() {
+// releaseLease releases the leader lease, so that the next leader need not wait for it
+// to expire.
+func (d *Daemon) releaseLease() {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if err := d.leader.Lease.Release(ctx); err != nil {
-		d.log.WithError(err).Warn("lead not given back")
+		d.log.WithError(err).Warn("cannot release the leader lease")
 	}
 }
 
-// Kill ends the daemon at once, as a lost process would.
+// Kill stops the daemon immediately, like a crash of the process.
 func (d *Daemon) Kill() {
 	d.stopped.Do(func() {
 		d.cancel()
--- a/internal/process/runner/sync.go
+++ b/internal/process/runner/sync.go
@@ -21,18 +21,19 @@
 )
 
 const (
-	mostRosters = 1000
-	mostChanges = 2000
+	maxRosters = 1000
+	maxChanges = 2000
 
-	// pollEvery is how often a member without a lead asks the platform.
-	pollEvery = 2 * time.Second
+	// pollInterval is the mean interval at which a member without a leader polls the
+	// platform.
+	pollInterval = 2 * time.Second
 
 	peerTimeout = 2 * time.Second
 )
 
-// syncFirst gets the newest settings that the platform, or without it the
-// peers, can show. It reports false when ctx ended.
-func (d *Daemon) syncFirst(ctx context.Context) bool {
+// syncInitial reads the newest settings from the platform or, if that is unreachable,
+// from peers. It retries until it succeeds, and returns false if ctx ends first.
+func (d *Daemon) syncInitial(ctx context.Context) bool {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 100 * time.Millisecond
 	b.MaxInterval = 2 * time.Second
@@ -55,10 +56,10 @@
 	}
 }
 
-// syncPlatform reads everything that steers. The revision of the first call
-// bounds what the copy is complete up to.
+// syncPlatform reads the rosters, settings, plan and VM list from the platform into the
+// replica. The replica is complete up to the revision of the first call.
 func (d *Daemon) syncPlatform(ctx context.Context) error {
-	all, err := d.store.List(ctx, registrar.Prefix, "", mostRosters)
+	all, err := d.store.List(ctx, registrar.Prefix, "", maxRosters)
 	if err != nil {
 		return err
 	}
@@ -75,7 +76,7 @@
 	case !errors.Is(err, storer.ErrNotFound):
 		return err
 	}
-	changes, err := d.store.List(ctx, d.records.ChangePrefix(), after, mostChanges)
+	changes, err := d.store.List(ctx, d.records.ChangePrefix(), after, maxChanges)
 	if err != nil {
 		return err
 	}
@@ -92,31 +93,31 @@
 	return nil
 }
 
-// syncPeers asks every seed and every member they name, and keeps the newest of
-// all that they know.
+// syncPeers reads from every listed VM and seed and from every member of the region
+// that they report, and keeps the newest objects. It reports whether any peer had some.
 func (d *Daemon) syncPeers(ctx context.Context) bool {
-	asked := map[string]bool{d.self.Links: true}
-	todo := append(d.listedLinks(ctx), d.config.Seeds...)
+	visited := map[string]bool{d.self.Links: true}
+	pending := append(d.listedLinkAddresses(ctx), d.config.Seeds...)
 	found := false
-	for len(todo) > 0 {
-		address := todo[0]
-		todo = todo[1:]
-		if asked[address] {
+	for len(pending) > 0 {
+		address := pending[0]
+		pending = pending[1:]
+		if visited[address] {
 			continue
 		}
-		asked[address] = true
-		b, err := d.fetch(ctx, address)
+		visited[address] = true
+		b, err := d.fetchPeer(ctx, address)
 		if err != nil || b.Revision == 0 {
 			continue
 		}
 		found = true
 		d.replica.Put(b)
-		todo = append(todo, d.regionLinks()...)
+		pending = append(pending, d.regionLinkAddresses()...)
 	}
 	return found
 }
 
-func (d *Daemon) fetch(ctx context.Context, address string) (storer.Batch, error) {
+func (d *Daemon) fetchPeer(ctx context.Context, address string) (storer.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var all storer.Batch
@@ -128,9 +129,9 @@
 	return all, eris.Wrapf(err, "peer %s", address)
 }
 
-// listedLinks returns where daemons would listen for links on the VMs of the
-// platform's list, which may answer when the rest of the platform does not.
-func (d *Daemon) listedLinks(ctx context.Context) []string {
+// listedLinkAddresses returns the link addresses that daemons would have on the VMs of
+// the platform's list, which may be readable when the rest of the platform is not.
+func (d *Daemon) listedLinkAddresses(ctx context.Context) []string {
 	o, err := d.store.Get(ctx, lister.ObjectName)
 	if err != nil {
 		return nil
@@ -152,24 +153,24 @@
 	return out
 }
 
-// regionLinks returns the link addresses of the members of our region.
-func (d *Daemon) regionLinks() []string {
-	d.versions.lock.Lock()
-	defer d.versions.lock.Unlock()
+// regionLinkAddresses returns the link addresses of the members of this region.
+func (d *Daemon) regionLinkAddresses() []string {
+	d.inputs.lock.Lock()
+	defer d.inputs.lock.Unlock()
 	var out []string
-	for _, m := range d.versions.rosters[d.config.Region].Members {
+	for _, m := range d.inputs.rosters[d.config.Region].Members {
 		out = append(out, m.Links)
 	}
 	return out
 }
 
-// loopPoll asks the platform for news while no lead passes them on.
+// loopPoll reads changes from the platform while no leader relays them.
 func (d *Daemon) loopPoll(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pollEvery/2 + rand.N(pollEvery)):
+		case <-time.After(pollInterval/2 + rand.N(pollInterval)):
 		}
 		if d.joiner.LeadHealthy() {
 			continue
@@ -183,25 +184,25 @@
 	}
 }
 
-// loopTidy ends links that nobody needs.
-func (d *Daemon) loopTidy(ctx context.Context) {
-	timekeeper.Every(ctx, linkIdle/4, d.tidy)
+// loopCloseIdleLinks periodically closes idle links.
+func (d *Daemon) loopCloseIdleLinks(ctx context.Context) {
+	timekeeper.Every(ctx, linkIdleTimeout/4, d.closeIdleLinks)
 }
 
-// linkIdle is how long an unused link to a daemon of another site is kept.
-const linkIdle = 60 * time.Second
+// linkIdleTimeout is how long an idle link to a daemon of another site is kept open.
+const linkIdleTimeout = 60 * time.Second
 
-func (d *Daemon) tidy() {
+func (d *Daemon) closeIdleLinks() {
 	s := d.snapshot.Load()
 	if s == nil {
 		return
 	}
-	lead := d.joiner.LeadIs()
-	dropped := d.links.Keep(func(i registrar.Incarnation, idle time.Duration) bool {
+	leaderID := d.joiner.LeadIs()
+	closed := d.links.Keep(func(i registrar.Incarnation, idle time.Duration) bool {
 		m, ok := s.View.Find(i)
-		return i == lead || idle < linkIdle && ok || ok && m.Site == d.self.Site
+		return i == leaderID || idle < linkIdleTimeout && ok || ok && m.Site == d.self.Site
 	})
-	if dropped > 0 {
-		d.log.WithFields(logrus.Fields{"links": dropped}).Debug("idle links ended")
+	if closed > 0 {
+		d.log.WithFields(logrus.Fields{"links": closed}).Debug("idle links closed")
 	}
 }
