--- a/internal/process/changer/changer.go
+++ b/internal/process/changer/changer.go
@@ -16,52 +16,54 @@
 )
 
 type (
-	// Changer accepts changes. Set the exported fields before use.
+	// Changer accepts changes of settings. Set the exported fields before use.
 	Changer struct {
 		Clock   timekeeper.Clock
 		Log     *recorder.Log
 		Applier *applier.Applier
-		// CheckOverload predicts the use of sites under a tree and says what it would
-		// overload. Nil means no check.
+		// CheckOverload predicts the use of sites under a tree and lists what the tree
+		// would overload. Nil means no check.
 		CheckOverload func(resolver.Tree) ([]planner.Use, parser.Problems)
-		// OnAdvance is told when the number in force here went up.
+		// OnAdvance is called when the number in force on this daemon increases. Nil
+		// means no callback.
 		OnAdvance func()
 	}
 
-	// Request is a change that an operator asks for.
+	// Request is a change requested by an operator.
 	Request struct {
 		ID   recorder.ChangeID
 		Who  string
 		From string
 		Why  string
-		// Base is the number that the operator had seen, 0 for the newest.
+		// Base is the settings number that the operator last saw, 0 for the newest.
 		Base  recorder.Number
 		Edits []resolver.Edit
-		// Undo names the change to take back; Edits is empty then.
+		// Undo is the number of the change to undo, in which case Edits is empty; 0
+		// means none.
 		Undo   recorder.Number
 		DryRun bool
-		// Force accepts a change that the guard objects to.
+		// Force accepts the change even if it would overload something.
 		Force bool
 	}
 
-	// Result is an accepted change, or what a dry run would have done.
+	// Result describes an accepted change or the result of a dry run.
 	Result struct {
 		Change recorder.Change
 		Edits  []resolver.Edit
-		// Warnings is what the guard objects to.
+		// Warnings lists what the change would overload.
 		Warnings parser.Problems
 		DryRun   bool
-		// Predicted is the use of sites that a dry run foresees.
+		// Predicted is the predicted use of sites after the change.
 		Predicted []planner.Use
 	}
 
-	// OverloadError is a change that the guard refused.
+	// OverloadError reports a change refused because it would overload something.
 	OverloadError struct {
 		Problems parser.Problems
 	}
 )
 
-// ErrNoChange reports a change that changes nothing.
+// ErrNoChange reports a change that would leave the settings as they are.
 var ErrNoChange = eris.New("the settings are already so")
 
 // Error lists what the change would overload.
@@ -69,15 +71,15 @@
 	return e.Problems.Error()
 }
 
-// Change records a change, or says why not: parser.Problems, OverloadError,
-// recorder.ConflictError, ErrNoChange, or the store's errors.
+// Change checks and records a change. It returns parser.Problems, OverloadError,
+// recorder.ConflictError, ErrNoChange, or an error of the store if it did not.
 func (c *Changer) Change(ctx context.Context, r Request) (Result, error) {
 	if err := c.catchUp(ctx); err != nil {
 		return Result{}, err
 	}
-	done, err := c.checkEarlier(&r)
-	if err != nil || done != nil {
-		return c.result(r, done), err
+	existing, err := c.checkEarlier(&r)
+	if err != nil || existing != nil {
+		return c.result(r, existing), err
 	}
 	tree, head := c.Applier.State()
 	if r.Undo > 0 {
@@ -89,19 +91,19 @@
 	if err != nil || r.DryRun {
 		return result, err
 	}
-	made, err := c.Log.Append(ctx, change, head, func(theirs recorder.Change) error {
-		return c.rebase(r, theirs)
+	recorded, err := c.Log.Append(ctx, change, head, func(other recorder.Change) error {
+		return c.rebase(r, other)
 	})
 	if err != nil {
 		return Result{}, err
 	}
-	c.apply(made)
-	c.saveSnapshot(ctx, made.Number)
-	result.Change = made
+	c.apply(recorded)
+	c.saveSnapshot(ctx, recorded.Number)
+	result.Change = recorded
 	return result, nil
 }
 
-// catchUp brings the settings here to the newest that the platform shows.
+// catchUp applies all changes that the platform has and this daemon does not.
 func (c *Changer) catchUp(ctx context.Context) error {
 	_, n := c.Applier.State()
 	changes, err := c.Log.Read(ctx, n)
@@ -117,8 +119,9 @@
 	}
 }
 
-// checkEarlier looks at the changes since the operator looked: one may be this very
-// change, and one may stand in its way.
+// checkEarlier checks a request against the changes already recorded. It returns the
+// change with the same id, or a ConflictError if a change after the request's base
+// conflicts with it.
 func (c *Changer) checkEarlier(r *Request) (*recorder.Change, error) {
 	base := r.Base
 	for _, x := range c.Applier.History(0) {
@@ -137,26 +140,26 @@
 	return nil, nil
 }
 
-func (c *Changer) result(r Request, done *recorder.Change) Result {
-	if done == nil {
+func (c *Changer) result(r Request, existing *recorder.Change) Result {
+	if existing == nil {
 		return Result{}
 	}
-	return Result{Change: *done, Edits: r.Edits}
+	return Result{Change: *existing, Edits: r.Edits}
 }
 
-func conflict(edits []resolver.Edit, theirs recorder.Change) error {
-	content, err := applier.ContentOf(theirs)
+func conflict(edits []resolver.Edit, other recorder.Change) error {
+	content, err := applier.ContentOf(other)
 	if err != nil {
 		return err
 	}
 	if resolver.Clash(edits, content.Edits) {
-		return &recorder.ConflictError{Theirs: theirs}
+		return &recorder.ConflictError{Theirs: other}
 	}
 	return nil
 }
 
-// undoEdits returns the edits that take a change back. A later change of the same
-// settings stands in the way.
+// undoEdits returns the edits that undo a change. A later change of the same settings is
+// a conflict unless the request is forced.
 func (c *Changer) undoEdits(r Request) ([]resolver.Edit, error) {
 	for _, x := range c.Applier.History(r.Undo - 1) {
 		content, err := applier.ContentOf(x)
@@ -172,12 +175,12 @@
 		}
 	}
 	if r.Edits == nil {
-		return nil, parser.Problems{{Path: fmt.Sprintf("change %d", r.Undo), Text: "is not among the changes kept"}}
+		return nil, parser.Problems{{Path: fmt.Sprintf("change %d", r.Undo), Text: "is not in the retained change log"}}
 	}
 	return r.Edits, nil
 }
 
-// prepare checks a change against a tree.
+// prepare checks a request against a tree and returns the change to record.
 func (c *Changer) prepare(tree resolver.Tree, r Request) (recorder.Change, Result, error) {
 	result := Result{Edits: r.Edits, DryRun: r.DryRun}
 	change := recorder.Change{
@@ -209,18 +212,20 @@
 	return change, result, nil
 }
 
-// rebase asks whether the change still holds behind one that was faster.
-func (c *Changer) rebase(r Request, theirs recorder.Change) error {
-	if err := conflict(r.Edits, theirs); err != nil {
+// rebase checks whether a change is still valid after a concurrent one that was recorded
+// first.
+func (c *Changer) rebase(r Request, other recorder.Change) error {
+	if err := conflict(r.Edits, other); err != nil {
 		return err
 	}
-	c.apply(theirs)
+	c.apply(other)
 	tree, _ := c.Applier.State()
 	_, _, err := c.prepare(tree, r)
 	return err
 }
 
-// saveSnapshot stores the state now and then. A failure costs readers time only.
+// saveSnapshot stores a snapshot every recorder.SnapshotEvery changes. It ignores
+// errors: without the snapshot readers only have more changes to read.
 func (c *Changer) saveSnapshot(ctx context.Context, n recorder.Number) {
 	if n%recorder.SnapshotEvery != 0 {
 		return
--- a/internal/process/changer/doc.go
+++ b/internal/process/changer/doc.go
@@ -1,7 +1,7 @@
 // Package changer accepts changes of settings: it checks them against the newest
-// tree, records them in the log, and tells a racing operator who was faster.
+// tree, records them in the change log, and reports conflicts with concurrent changes.
 //
-// A change is accepted when it is recorded, and not before. Its id lets an
-// operator whose answer was lost ask again, through any daemon, without making
-// the change twice.
+// A change is accepted once it is recorded. Its id makes it idempotent: an operator
+// whose response was lost may retry through any daemon without applying the change
+// twice.
 package changer
--- a/internal/process/operator/api.go
+++ b/internal/process/operator/api.go
@@ -10,7 +10,7 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// The paths of the operators' listener.
+// Paths served on the operators' listener.
 const (
 	PathSettings = "/Settings"
 	PathTOML     = "/Settings/TOML"
@@ -25,7 +25,7 @@
 	PathHealth   = "/health"
 )
 
-// The kinds of failure, from which the command line takes its exit code.
+// Kinds of failure. The command line derives its exit code from them.
 const (
 	FailureInput       Failure = "Input"
 	FailureForbidden   Failure = "Forbidden"
@@ -36,45 +36,45 @@
 )
 
 type (
-	// Failure is a kind of failure.
+	// Failure classifies why a call failed.
 	Failure string
 
-	// ErrorAnswer is the answer to a call that failed.
+	// ErrorAnswer is the response to a call that failed.
 	ErrorAnswer struct {
 		Failure  Failure
 		Text     string
 		Problems parser.Problems `json:",omitempty"`
-		// Theirs is the change that was faster.
+		// Theirs is the conflicting change that was recorded first.
 		Theirs *recorder.Change `json:",omitempty"`
 	}
 
-	// SettingsAnswer is the settings in force at a path.
+	// SettingsAnswer holds the settings in force at a path.
 	SettingsAnswer struct {
 		Number recorder.Number
 		Path   string
 		Values []resolver.Source
-		// Beneath is what is set further down.
+		// Beneath lists the values set at paths below Path.
 		Beneath []resolver.Edit `json:",omitempty"`
 	}
 
-	// TOMLAnswer is the whole tree as text.
+	// TOMLAnswer holds the whole tree of settings as TOML.
 	TOMLAnswer struct {
 		Number recorder.Number
 		Text   string
 	}
 
-	// LogAnswer is a part of the log of changes.
+	// LogAnswer holds a part of the change log.
 	LogAnswer struct {
 		Changes []recorder.Change
 	}
 
-	// ChangeRequest asks for a change. One of Edits, TOML and Undo is set.
+	// ChangeRequest requests a change. One of Edits, TOML and Undo is set.
 	ChangeRequest struct {
 		ID    recorder.ChangeID
 		Why   string
 		Base  recorder.Number
 		Edits []resolver.Edit
-		// TOML replaces the whole tree by the one in the text.
+		// TOML replaces the whole tree of settings.
 		TOML   string
 		File   string
 		Undo   recorder.Number
@@ -82,79 +82,80 @@
 		Force  bool
 	}
 
-	// ChangeAnswer tells of an accepted change, or of a dry run.
+	// ChangeAnswer describes an accepted change or the result of a dry run.
 	ChangeAnswer struct {
 		Number   recorder.Number
 		Edits    []resolver.Edit
 		Warnings parser.Problems `json:",omitempty"`
 		DryRun   bool            `json:",omitempty"`
-		// Predicted is the use of every site once the change is carried out,
-		// by the load measured now. Only a dry run tells it.
+		// Predicted is the use of every site after the change, based on the
+		// current load. It is set only in a dry run.
 		Predicted []planner.Use `json:",omitempty"`
 	}
 
-	// InForceAnswer tells on how many daemons a change is in force.
+	// InForceAnswer holds the number of daemons on which a change is in force.
 	InForceAnswer struct {
 		Number  recorder.Number
 		InForce int
 		Members int
 	}
 
-	// BlocksAnswer tells of a stored table of client blocks.
+	// BlocksAnswer describes a stored table of client blocks.
 	BlocksAnswer struct {
 		Name   string
 		Blocks int
 	}
 
-	// Status is the fleet as one daemon knows it.
+	// Status describes the fleet as known to one daemon.
 	Status struct {
 		Daemon   string
 		Site     registrar.Site
 		Settings recorder.Number
 		Plan     planner.Number
-		// PlanMillis is the wall time at which the planner made the plan.
+		// PlanMillis is the wall-clock time at which the planner made the plan.
 		PlanMillis timekeeper.Millis
-		// InForce is on how many of Members the settings here are in force.
+		// InForce is the number of members on which this daemon's settings are in
+		// force.
 		InForce int
 		Members int
-		// Platform tells whether the platform answered; without it the rest
-		// is what this daemon last knew.
+		// Platform reports whether the platform responded. If it did not, the rest
+		// is this daemon's last known state.
 		Platform bool
 		Blocks   int
 		Regions  []RegionStatus
 		Drained  []string       `json:",omitempty"`
 		Shifts   []ShiftStatus  `json:",omitempty"`
 		Holds    []planner.Hold `json:",omitempty"`
-		// Owned is the upstreams of this daemon, as of now.
+		// Owned lists the pools that this daemon owns now.
 		Owned []OwnedStatus `json:",omitempty"`
-		// Lead tells whether this daemon leads its region, LeadReached whether
-		// it reaches whoever does. Cut off from both lead and platform it goes
-		// on with what it has.
+		// Lead reports whether this daemon is the leader of its region, LeadReached
+		// whether it reaches the leader. A daemon that reaches neither leader nor
+		// platform continues with its last known state.
 		Lead        bool
 		LeadReached bool
-		// Fence is that of the lead's holding, PlannerFence that of the
-		// planner's, 0 where this daemon holds neither. No two daemons ever
-		// show the same.
+		// Fence and PlannerFence are the fences of the leader's and the planner's
+		// lease, 0 if this daemon does not hold the lease. No two daemons ever
+		// report the same fence.
 		Fence        leaser.Fence
 		PlannerFence leaser.Fence
-		// InvariantsBroken counts what must never be, see docs/FAILURES.md.
+		// InvariantsBroken counts violated invariants, see docs/FAILURES.md.
 		InvariantsBroken uint64
-		// Valid tells whether this daemon may send to its upstreams.
+		// Valid reports whether this daemon may send to its upstreams.
 		Valid   bool
 		Control ControlStatus
-		// Outlook is filled in by the command line, which asks for it apart: it
-		// costs much more than the rest.
+		// Outlook is set by the command line, which requests it separately because
+		// it costs much more than the rest.
 		Outlook *Outlook `json:",omitempty"`
 	}
 
-	// Outlook is what is free in each region, and what the loss of each place
-	// would do, going by the load now.
+	// Outlook holds the headroom of each region and the effect of losing each failure
+	// domain or region, based on the current load.
 	Outlook struct {
 		Headroom []planner.Headroom
 		Losses   []planner.Loss
 	}
 
-	// OwnedStatus is the pool of one service at one site in this daemon.
+	// OwnedStatus describes the pool of one service at one site that this daemon owns.
 	OwnedStatus struct {
 		Service resolver.ServiceName
 		Site    registrar.Site
@@ -163,7 +164,7 @@
 		Waiting int
 	}
 
-	// RegionStatus is one region.
+	// RegionStatus describes a region as reported by its leader.
 	RegionStatus struct {
 		Region   string
 		Members  int
@@ -172,35 +173,36 @@
 		Services []ServiceStatus
 	}
 
-	// ServiceStatus is the use of a service's slots in a region.
+	// ServiceStatus describes the use of a service's slots in a region.
 	ServiceStatus struct {
 		Service resolver.ServiceName
 		Slots   uint32
 		Busy    uint32
 		Peak    uint32
 		Waiting uint32
-		// Limit is how many slots the plan may fill.
+		// Limit is the number of slots that the plan may fill.
 		Limit float64
 	}
 
-	// ShiftStatus is how far a shift has come.
+	// ShiftStatus describes the progress of a shift.
 	ShiftStatus struct {
 		Service resolver.ServiceName
 		From    string
 		To      string
-		// Want and Have are the share of the traffic of From that is to move
-		// and has moved.
+		// Want and Have are the shares of From's traffic that are to move and that
+		// have moved.
 		Want float64
 		Have float64
 	}
 
-	// ControlStatus is what this daemon spent on control since it started.
+	// ControlStatus counts this daemon's control traffic since it started.
 	ControlStatus struct {
 		UpMillis     timekeeper.Millis
 		LinkBytesIn  uint64
 		LinkBytesOut uint64
 		LinkFrames   uint64
-		// WireBytes are all bytes on links, requests and pings included.
+		// WireBytesIn and WireBytesOut count all bytes on links, including requests
+		// and pings.
 		WireBytesIn     uint64
 		WireBytesOut    uint64
 		Pings           uint64
--- a/internal/process/operator/doc.go
+++ b/internal/process/operator/doc.go
@@ -1,3 +1,3 @@
-// Package operator serves the operators' listener: settings, their log, changes
-// and undo, status, metrics and health.
+// Package operator serves the operators' listener: settings and their change log,
+// changes and undo, client blocks, quarantine, status, metrics and health.
 package operator
--- a/internal/process/operator/page.go
+++ b/internal/process/operator/page.go
@@ -9,14 +9,14 @@
 	"sync"
 )
 
-// PathPage is the page for phones. It holds no secrets: what it shows it asks for
-// with the operator's token.
+// PathPage is the path of the web page for phones. The page holds no secrets: it
+// fetches its data with the operator's token.
 const PathPage = "/"
 
 //go:embed page/index.html
 var page []byte
 
-// compressedPage is the page as it goes over poor links.
+// compressedPage returns the page compressed with gzip, for slow connections.
 var compressedPage = sync.OnceValue(func() []byte {
 	var b bytes.Buffer
 	w, _ := gzip.NewWriterLevel(&b, gzip.BestCompression)
--- a/internal/process/operator/server.go
+++ b/internal/process/operator/server.go
@@ -35,29 +35,31 @@
 )
 
 type (
-	// Server serves operators. Set the exported fields before use.
+	// Server handles the requests of operators. Set the exported fields before use.
 	Server struct {
 		Tokens  []configurer.Token
 		Store   *storer.Client
 		Log     *recorder.Log
 		Applier *applier.Applier
 		Changer *changer.Changer
-		// Status describes the fleet.
+		// Status returns the status of the fleet.
 		Status func(context.Context) Status
-		// Outlook works out headroom and losses.
+		// Outlook computes headroom and losses.
 		Outlook func(context.Context) (Outlook, error)
-		// InForce tells on how many daemons a number is in force.
+		// InForce counts the daemons on which the settings with a number are in
+		// force.
 		InForce func(context.Context, recorder.Number) (InForceAnswer, error)
-		// Healthy tells whether the daemon takes new work, and if not, why.
+		// Healthy reports whether the daemon accepts new requests and, if not, why.
 		Healthy func() (bool, string)
-		// Quarantine knows requests that crash upstreams.
+		// Quarantine tracks requests that crash upstreams.
 		Quarantine *quarantiner.Quarantiner
 		Metrics    http.Handler
-		// Lookup answers look-ups for operators who want to see them.
+		// Lookup serves lookups to operators.
 		Lookup http.Handler
 	}
 
-	// identity is the operator of a call.
+	// identity is the operator who makes a call. The role is RoleNone if the token is
+	// missing or unknown.
 	identity struct {
 		name string
 		role configurer.Role
@@ -66,13 +68,13 @@
 
 	handler func(context.Context, identity, *http.Request) (any, error)
 
-	// inputError is a call that cannot be understood.
+	// inputError reports invalid input in a call.
 	inputError struct{ text string }
 )
 
 func (e inputError) Error() string { return e.text }
 
-// Handler returns the routes.
+// Handler returns the handler of all routes.
 func (s *Server) Handler() (http.Handler, error) {
 	view := configurer.RoleView
 	steer := configurer.RoleSteer
@@ -97,11 +99,11 @@
 	})
 }
 
-func (s *Server) route(method, path string, least configurer.Role, h handler) rest.Route {
+func (s *Server) route(method, path string, required configurer.Role, h handler) rest.Route {
 	return rest.Route{Method: method, Path: path, Handler: func(w http.ResponseWriter, r *http.Request) {
 		o := s.identify(r)
-		if o.role < least {
-			writeJSON(w, http.StatusForbidden, ErrorAnswer{Failure: FailureForbidden, Text: s.denialText(o, least)})
+		if o.role < required {
+			writeJSON(w, http.StatusForbidden, ErrorAnswer{Failure: FailureForbidden, Text: s.denialText(o, required)})
 			return
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, maxRequestBytes)
@@ -115,8 +117,8 @@
 	}}
 }
 
-// identify finds the operator by the hash of the token. Every token is
-// compared, so the time taken tells nothing.
+// identify returns the operator whose token hash matches. It compares all tokens, so
+// that the time taken reveals nothing about them.
 func (s *Server) identify(r *http.Request) identity {
 	out := identity{}
 	out.from, _, _ = net.SplitHostPort(r.RemoteAddr)
@@ -134,16 +136,16 @@
 	return out
 }
 
-func (s *Server) denialText(o identity, least configurer.Role) string {
+func (s *Server) denialText(o identity, required configurer.Role) string {
 	switch {
 	case len(s.Tokens) == 0:
 		return "this daemon has no tokens in its settings"
 	case o.role == configurer.RoleNone:
 		return "the token is missing or unknown"
-	case least == configurer.RoleAdminister:
-		return o.name + " may not do this; it takes the role administer"
+	case required == configurer.RoleAdminister:
+		return o.name + " is not allowed to do this: it requires the role administer"
 	}
-	return o.name + " may not do this; it takes the role steer"
+	return o.name + " is not allowed to do this: it requires the role steer"
 }
 
 func (s *Server) settings(_ context.Context, _ identity, r *http.Request) (any, error) {
@@ -169,7 +171,7 @@
 	}
 	changes, err := s.Log.Read(ctx, after)
 	if err != nil {
-		// In an outage of the platform, what is kept here must do.
+		// During an outage of the platform, return the changes retained locally.
 		changes = s.Applier.History(after)
 	}
 	return LogAnswer{Changes: changes}, nil
@@ -208,7 +210,7 @@
 	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
 		return nil, inputError{"body: " + err.Error()}
 	}
-	edits, err := s.requestedEdits(q)
+	edits, err := s.edits(q)
 	if err != nil {
 		return nil, err
 	}
@@ -238,9 +240,9 @@
 	}, nil
 }
 
-// requestedEdits returns what is to be edited. A whole tree becomes its difference to
-// the one in force.
-func (s *Server) requestedEdits(q ChangeRequest) ([]resolver.Edit, error) {
+// edits returns the requested edits. For a whole tree these are its difference from the
+// tree in force.
+func (s *Server) edits(q ChangeRequest) ([]resolver.Edit, error) {
 	if q.TOML == "" {
 		return q.Edits, nil
 	}
@@ -257,7 +259,7 @@
 func (s *Server) storeBlocks(ctx context.Context, _ identity, r *http.Request) (any, error) {
 	name := r.URL.Query().Get("Name")
 	if name == "" || strings.ContainsAny(name, "/ ") {
-		return nil, inputError{"Name is missing or has a blank or slash in it"}
+		return nil, inputError{"Name is missing or contains a space or slash"}
 	}
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -277,9 +279,9 @@
 }
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
-	ok, why := s.Healthy()
+	ok, reason := s.Healthy()
 	if !ok {
-		http.Error(w, why, http.StatusServiceUnavailable)
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = io.WriteString(w, "ok\n")
@@ -297,7 +299,7 @@
 	return recorder.Number(n), nil
 }
 
-// errorResponse turns an error into an answer.
+// errorResponse returns the HTTP status and response for an error.
 func errorResponse(err error) (int, ErrorAnswer) {
 	var problems parser.Problems
 	var unsafe *changer.OverloadError
@@ -334,14 +336,14 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// NewChangeID returns an id that no other change has.
+// NewChangeID returns a new random, unique change id.
 func NewChangeID() recorder.ChangeID {
 	b := make([]byte, changeIDBytes)
 	_, _ = rand.Read(b)
 	return recorder.ChangeID(hex.EncodeToString(b))
 }
 
-// HashToken returns the hash of a token as settings files hold it.
+// HashToken returns the SHA-256 hash of a token in hex, the form used in settings files.
 func HashToken(token string) string {
 	h := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(h[:])
--- a/internal/process/runner/assemble.go
+++ b/internal/process/runner/assemble.go
@@ -24,8 +24,8 @@
 	maxTablePoll = 10 * time.Second
 )
 
-// snapshotInputs holds the latest inputs for the next snapshot.
-type snapshotInputs struct {
+// inputs holds the latest inputs for the next snapshot.
+type inputs struct {
 	lock      sync.Mutex
 	plan      planner.Plan
 	rosters   map[string]registrar.Roster
@@ -145,7 +145,7 @@
 
 // buildSnapshot builds the next snapshot and puts it in force.
 func (d *Daemon) buildSnapshot() {
-	parts, rosterVersions := d.snapshotParts()
+	parts, rosterVersions := d.parts()
 	next, err := steerer.Build(parts)
 	if err != nil {
 		d.log.WithError(err).Error("cannot build snapshot")
@@ -162,9 +162,9 @@
 	d.joiner.Poke()
 }
 
-// snapshotParts returns the parts of the next snapshot and the roster version of each
+// parts returns the parts of the next snapshot and the roster version of each
 // region.
-func (d *Daemon) snapshotParts() (steerer.Parts, map[string]uint64) {
+func (d *Daemon) parts() (steerer.Parts, map[string]uint64) {
 	i := &d.inputs
 	i.lock.Lock()
 	defer i.lock.Unlock()
--- a/internal/process/runner/daemon.go
+++ b/internal/process/runner/daemon.go
@@ -93,19 +93,20 @@
 		base   context.Context
 		cancel context.CancelFunc
 
-		callerListener net.Listener
-		linkListener   net.Listener
+		// callers, linkListener and operators are the listeners of the daemon.
+		callers      net.Listener
+		linkListener net.Listener
 		// encrypter is nil if links are not encrypted.
-		encrypter        *encrypter.Encrypter
-		pacer            pacer.Pacer
-		operatorListener net.Listener
-		servers          []server
+		encrypter *encrypter.Encrypter
+		pacer     pacer.Pacer
+		operators net.Listener
+		servers   []server
 
 		self     registrar.Member
 		leaving  atomic.Bool
 		snapshot atomic.Pointer[steerer.Snapshot]
 		rebuild  chan struct{}
-		inputs   snapshotInputs
+		inputs   inputs
 
 		meter     *measurer.Meter
 		store     *storer.Client
@@ -125,7 +126,7 @@
 		// then. Only the goroutine that sends heartbeats uses them.
 		lastReport   timekeeper.Millis
 		reportedBusy map[pooler.Key]int
-		unreachable  unreachableMembers
+		unreachable  unreachable
 		// quarantine tracks requests that crash upstreams; suspectChanges queues the
 		// changes to send to other daemons.
 		quarantine     *quarantiner.Quarantiner
@@ -162,9 +163,9 @@
 		Incarnation: newIncarnation(),
 		Name:        o.Config.Name,
 		Site:        o.Config.Site(),
-		Callers:     firstNonEmpty(o.Config.AdvertiseCallers, d.callerListener.Addr().String()),
+		Callers:     firstNonEmpty(o.Config.AdvertiseCallers, d.callers.Addr().String()),
 		Links:       firstNonEmpty(o.Config.AdvertiseLinks, d.linkListener.Addr().String()),
-		Operators:   d.operatorListener.Addr().String(),
+		Operators:   d.operators.Addr().String(),
 	}
 	d.assemble()
 	return d, nil
@@ -189,9 +190,9 @@
 		name     string
 		address  string
 	}{
-		{&d.callerListener, "Callers", d.config.Callers},
+		{&d.callers, "Callers", d.config.Callers},
 		{&d.linkListener, "Links", d.config.Links},
-		{&d.operatorListener, "Operators", d.config.Operators},
+		{&d.operators, "Operators", d.config.Operators},
 	} {
 		var err error
 		if *l.listener, err = net.Listen("tcp", l.address); err != nil {
@@ -224,7 +225,7 @@
 }
 
 func (d *Daemon) closeListeners() {
-	for _, l := range []net.Listener{d.callerListener, d.linkListener, d.operatorListener} {
+	for _, l := range []net.Listener{d.callers, d.linkListener, d.operators} {
 		if l != nil {
 			l.Close()
 		}
@@ -376,7 +377,7 @@
 		Failed:       d.logHandlerPanic,
 		Clock:        d.clock,
 	}
-	l := d.callerListener
+	l := d.callers
 	if d.options.WrapCallers != nil {
 		l = d.options.WrapCallers(l)
 	}
@@ -388,7 +389,7 @@
 		MaxHeaderBytes:    maxHeadBytes,
 		ErrorLog:          debugLogger(d.log),
 	}
-	d.startServer(server{operatorServer.Serve, operatorServer.Shutdown, func() { _ = operatorServer.Close() }}, d.operatorListener)
+	d.startServer(server{operatorServer.Serve, operatorServer.Shutdown, func() { _ = operatorServer.Close() }}, d.operators)
 	return nil
 }
 
@@ -463,9 +464,9 @@
 }
 
 func (d *Daemon) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	ok, why := d.healthy()
+	ok, reason := d.healthy()
 	if !ok {
-		http.Error(w, why, http.StatusServiceUnavailable)
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
--- a/internal/process/runner/status.go
+++ b/internal/process/runner/status.go
@@ -172,7 +172,7 @@
 	if s == nil {
 		return operator.Outlook{}, storer.ErrNotFound
 	}
-	load, err := d.totalLoad(ctx)
+	load, err := d.load(ctx)
 	if err != nil {
 		return operator.Outlook{}, err
 	}
@@ -180,8 +180,8 @@
 	return operator.Outlook{Headroom: headroom, Losses: losses}, nil
 }
 
-// totalLoad sums the load that the leaders reported.
-func (d *Daemon) totalLoad(ctx context.Context) (planner.Load, error) {
+// load sums the load that the leaders reported.
+func (d *Daemon) load(ctx context.Context) (planner.Load, error) {
 	var load planner.Load
 	all, err := d.summaries(ctx)
 	for _, s := range all {
@@ -196,7 +196,7 @@
 func (d *Daemon) checkOverload(t resolver.Tree) ([]planner.Use, parser.Problems) {
 	ctx, cancel := context.WithTimeout(d.base, peerTimeout)
 	defer cancel()
-	load, err := d.totalLoad(ctx)
+	load, err := d.load(ctx)
 	if err != nil {
 		return nil, parser.Problems{{Text: fmt.Sprintf("cannot read the current load: %v", err)}}
 	}
--- a/internal/process/runner/unreachable.go
+++ b/internal/process/runner/unreachable.go
@@ -24,11 +24,11 @@
 	unreachableTimeout = 12 * timekeeper.Second
 )
 
-// unreachableMembers lists the members of the region that this daemon considers dead
+// unreachable lists the members of the region that this daemon considers dead
 // during an outage of the platform, when no roster without them can be written. Each
 // daemon keeps its own list, which works because a terminated process is unreachable for
 // all of them. The list is dropped once rosters can be written again.
-type unreachableMembers struct {
+type unreachable struct {
 	lock    sync.Mutex
 	members map[registrar.Incarnation]bool
 	// since is when a member was first found unreachable.
@@ -36,14 +36,14 @@
 }
 
 // list returns a copy of the members on the list.
-func (u *unreachableMembers) list() map[registrar.Incarnation]bool {
+func (u *unreachable) list() map[registrar.Incarnation]bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return maps.Clone(u.members)
 }
 
 // set replaces the list and reports whether it changed.
-func (u *unreachableMembers) set(members map[registrar.Incarnation]bool) bool {
+func (u *unreachable) set(members map[registrar.Incarnation]bool) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	if maps.Equal(u.members, members) {
@@ -110,7 +110,7 @@
 		d.unreachable.since = map[registrar.Incarnation]timekeeper.Millis{}
 	}
 	now := d.clock.Now()
-	unreachable := map[registrar.Incarnation]bool{}
+	members := map[registrar.Incarnation]bool{}
 	for _, m := range d.regionPeers() {
 		p := d.links.Peer(ctx, m)
 		if p.Up() {
@@ -127,10 +127,10 @@
 			timeout = refusedTimeout
 		}
 		if now-since >= timeout {
-			unreachable[m.Incarnation] = true
+			members[m.Incarnation] = true
 		}
 	}
-	return unreachable
+	return members
 }
 
 // regionPeers returns the other members on the roster of the region.
