--- a/cmd/gullvale-standin/main.go
+++ b/cmd/gullvale-standin/main.go
@@ -1,5 +1,5 @@
-// Command gullvale-standin holds the stand-ins for the systems around gullvale:
-// the platform's object API, upstreams, and callers.
+// Command gullvale-standin runs stand-ins for the systems around gullvale: the
+// platform's object API, upstreams, and callers.
 package main
 
 import (
@@ -28,7 +28,7 @@
 	stopTimeout  = 5 * time.Second
 )
 
-// listening is the line that tells where a stand-in listens.
+// listenInfo is the JSON line with the address on which a stand-in listens.
 type listenInfo struct {
 	Address string
 }
@@ -50,14 +50,14 @@
 	s := &platform.Server{}
 	c := &cobra.Command{
 		Use:   "platform",
-		Short: "Serve the object API; PUT /Faults breaks it, GET /Counts counts its calls",
+		Short: "Serve the object API; PUT /Faults injects faults, GET /Counts returns call counts",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return serve(listen, &http.Server{Handler: s})
 		},
 	}
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address to listen on")
-	c.Flags().StringVar(&s.Token, "token", "", "token that callers must show")
+	c.Flags().StringVar(&s.Token, "token", "", "token required from callers")
 	return c
 }
 
@@ -67,7 +67,7 @@
 	s := &server.Server{}
 	c := &cobra.Command{
 		Use:   "upstream",
-		Short: "Serve short answers or long exports; GET /Journal tells what ran, POST /Drain drains",
+		Short: "Serve short responses or long exports; GET /Journal lists the requests run, POST /Drain drains",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			s.ConnMillis = timekeeper.Millis(connMillis)
@@ -78,15 +78,15 @@
 	}
 	f := c.Flags()
 	f.StringVar(&listen, "listen", "127.0.0.1:0", "address to listen on")
-	f.IntVar(&s.Slots, "slots", 6, "requests served at the same time; more are shed")
-	f.Float64Var(&s.ServiceMillis, "service-millis", 20, "mean time to serve a request")
-	f.Int64Var(&s.Bytes, "bytes", 512, "length of an answer whose request names none")
-	f.Int64Var(&s.Pace, "pace", 0, "bytes a second at which an answer flows; 0 is no limit")
-	f.Int64Var(&connMillis, "conn-millis", 1, "cost of a new connection")
-	f.Int64Var(&probeMillis, "probe-millis", 6, "cost of a probe")
-	f.Int64Var(&s.ColdRequests, "cold-requests", 0, "first requests that take twice as long")
-	f.Int64Var(&lagMillis, "lag-millis", 0, "age of the load that /load shows")
-	f.Uint64Var(&s.Seed, "seed", 1, "seed of the service times")
+	f.IntVar(&s.Slots, "slots", 6, "requests served concurrently; further ones are shed")
+	f.Float64Var(&s.ServiceMillis, "service-millis", 20, "mean time to serve a request, in milliseconds")
+	f.Int64Var(&s.Bytes, "bytes", 512, "default response length in bytes")
+	f.Int64Var(&s.Pace, "pace", 0, "response rate in bytes per second; 0 means no limit")
+	f.Int64Var(&connMillis, "conn-millis", 1, "cost of a new connection in milliseconds")
+	f.Int64Var(&probeMillis, "probe-millis", 6, "cost of a probe in milliseconds")
+	f.Int64Var(&s.ColdRequests, "cold-requests", 0, "number of initial requests that take twice as long")
+	f.Int64Var(&lagMillis, "lag-millis", 0, "age of the load that /load reports, in milliseconds")
+	f.Uint64Var(&s.Seed, "seed", 1, "random seed of the service times")
 	return c
 }
 
@@ -96,21 +96,21 @@
 	s := caller.Stream{Class: "short"}
 	c := &cobra.Command{
 		Use:   "callers",
-		Short: "Send requests at random times, check every answer, print the measures",
+		Short: "Send requests at random times, check every response, and print statistics",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return runCallers(s, seeds, duration)
 		},
 	}
 	f := c.Flags()
-	f.StringSliceVar(&seeds, "seeds", nil, "caller addresses of some daemons (required)")
-	f.StringVar(&s.Service, "service", "", "service to ask for (required)")
-	f.Float64Var(&s.Rate, "rate", 10, "requests a second")
-	f.Float64Var(&s.PostPart, "post", 0.3, "part of the requests that must not run twice")
-	f.Int64Var(&s.Bytes, "bytes", 512, "length of an answer")
-	f.StringSliceVar(&s.Blocks, "blocks", []string{""}, "client blocks to come from; empty is the own address")
-	f.DurationVar(&duration, "for", 10*time.Second, "how long to begin requests")
-	f.Uint64Var(&s.Seed, "seed", uint64(time.Now().UnixNano()), "seed of times and tokens")
+	f.StringSliceVar(&seeds, "seeds", nil, "callers' listener addresses of some daemons (required)")
+	f.StringVar(&s.Service, "service", "", "service to request (required)")
+	f.Float64Var(&s.Rate, "rate", 10, "requests per second")
+	f.Float64Var(&s.PostPart, "post", 0.3, "fraction of requests that must not run twice")
+	f.Int64Var(&s.Bytes, "bytes", 512, "response length in bytes")
+	f.StringSliceVar(&s.Blocks, "blocks", []string{""}, "client blocks to send from; empty means the caller's own address")
+	f.DurationVar(&duration, "for", 10*time.Second, "how long to keep starting requests")
+	f.Uint64Var(&s.Seed, "seed", uint64(time.Now().UnixNano()), "random seed of times and tokens")
 	_ = c.MarkFlagRequired("seeds")
 	_ = c.MarkFlagRequired("service")
 	return c
@@ -135,7 +135,8 @@
 	return nil
 }
 
-// serve serves until a signal, and prints the address first.
+// serve prints the listening address and serves until SIGTERM or SIGINT, then shuts down
+// gracefully for at most stopTimeout.
 func serve(listen string, s *http.Server) error {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -153,7 +154,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	bound, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	return s.Shutdown(bound)
+	return s.Shutdown(shutdownCtx)
 }
--- a/cmd/gullvale/main.go
+++ b/cmd/gullvale/main.go
@@ -1,4 +1,4 @@
-// Command gullvale is the operators' command line.
+// Command gullvale is the command line for operators.
 package main
 
 import (
--- a/cmd/gullvaled/main.go
+++ b/cmd/gullvaled/main.go
@@ -20,14 +20,14 @@
 	"github.com/gullvale/gullvale/platform"
 )
 
-// defaultStop is the time from SIGTERM to the end of an entry: longer than most
-// requests, shorter than what supervisors wait before they kill.
+// defaultStop is the time from SIGTERM to the exit of an entry: longer than most
+// requests, and shorter than supervisors wait before they kill a process.
 const defaultStop = 6 * timekeeper.Second
 
-// withoutUsage explains the flag that switches mechanisms off.
+// withoutUsage is the usage text of the flag that disables mechanisms.
 const withoutUsage = "mechanisms to switch off, for experiments, with commas between them"
 
-// The exit codes.
+// Exit codes.
 const (
 	exitDone     = 0
 	exitFailed   = 1
@@ -49,7 +49,7 @@
 	var check bool
 	c := &cobra.Command{
 		Use:           "gullvaled --settings FILE.toml",
-		Short:         "Steer callers to upstreams from this entry VM",
+		Short:         "Route requests from callers to upstreams on this entry VM",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -65,7 +65,8 @@
 	return c
 }
 
-// entryCommand runs an entry that takes routes and upstreams from a file.
+// entryCommand returns the command that runs an entry with routes and upstreams from a
+// file.
 func entryCommand(code *int) *cobra.Command {
 	o := follower.Options{StopWithin: defaultStop}
 	var check bool
@@ -82,10 +83,10 @@
 	f.StringVar(&o.Name, "name", "entry", "name of this entry")
 	f.StringVar((*string)(&o.Site), "site", "here/here", "region/domain of this entry")
 	f.StringVar(&o.Callers, "callers", "127.0.0.1:7100", "address for callers")
-	f.StringVar(&o.Checks, "checks", "", "address that answers /ready, none if empty")
+	f.StringVar(&o.Checks, "checks", "", "address that serves /ready, none if empty")
 	f.StringVar(&o.Metrics, "metrics", "", "address that serves /metrics, none if empty")
 	f.Var(&o.Without, "without", withoutUsage)
-	f.Int64Var((*int64)(&o.StopWithin), "stop-millis", int64(defaultStop), "time from SIGTERM to the end")
+	f.Int64Var((*int64)(&o.StopWithin), "stop-millis", int64(defaultStop), "time from SIGTERM to exit, in milliseconds")
 	f.BoolVar(&check, "check", false, "check the table and exit")
 	_ = c.MarkFlagRequired("table")
 	_ = c.MarkFlagFilename("table", "toml")
@@ -110,12 +111,13 @@
 	return exitDone
 }
 
-// platformCommand runs the daemon where the platform names its settings file.
+// platformCommand returns the command that runs the daemon with the settings file given
+// by the platform.
 func platformCommand(code *int) *cobra.Command {
 	var without switcher.Set
 	c := &cobra.Command{
 		Use:   "platform",
-		Short: "Run on the users' platform, with the settings that it gives",
+		Short: "Run on the users' platform, with the settings file that it provides",
 		Args:  cobra.NoArgs,
 		Run: func(*cobra.Command, []string) {
 			*code = runPlatform(without)
@@ -125,7 +127,8 @@
 	return c
 }
 
-// runPlatform runs without the given mechanisms and those that the settings name.
+// runPlatform runs the daemon with the given mechanisms and those named in the settings
+// disabled.
 func runPlatform(without switcher.Set) int {
 	path := platform.SettingsPath()
 	s, err := platform.ReadSettings(path)
@@ -160,11 +163,11 @@
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	if err := d.Start(); err != nil {
-		log.WithError(err).Error("not started")
+		log.WithError(err).Error("cannot start")
 		return exitFailed
 	}
 	s := <-signals
-	log.WithField("signal", s.String()).Info("stop asked for")
+	log.WithField("signal", s.String()).Info("stop requested")
 	d.Stop(context.Background())
 	return exitDone
 }
--- a/internal/process/configurer/config.go
+++ b/internal/process/configurer/config.go
@@ -19,11 +19,11 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// EnvPlatformToken overrides Platform.Token, so that the file need not hold a
-// secret.
+// EnvPlatformToken is the environment variable that overrides Platform.Token, so that
+// the settings file need not hold a secret.
 const EnvPlatformToken = "GULLVALE_PLATFORM_TOKEN"
 
-// The roles of operators, each of which may do what those before it may.
+// Roles of operators. Each role includes the permissions of those before it.
 const (
 	RoleNone Role = iota
 	RoleView
@@ -62,17 +62,17 @@
 )
 
 type (
-	// Role is what an operator may do.
+	// Role determines what an operator is allowed to do.
 	Role uint8
 
-	// Token is one operator's token, kept as its SHA-256 hash.
+	// Token is an operator's token, stored as its SHA-256 hash.
 	Token struct {
 		Who  string
 		Role Role
 		Hash [hashBytes]byte
 	}
 
-	// Config is the settings of one daemon.
+	// Config holds the settings of one daemon.
 	Config struct {
 		Name      string
 		Region    string
@@ -80,25 +80,26 @@
 		Callers   string
 		Links     string
 		Operators string
-		// AdvertiseCallers and AdvertiseLinks are the addresses that others
-		// are told, where they differ from those listened on.
+		// AdvertiseCallers and AdvertiseLinks are the addresses advertised to
+		// callers and other daemons; empty means the listening address.
 		AdvertiseCallers string
 		AdvertiseLinks   string
 		Seeds            []string
 		PlatformAddress  string
 		PlatformToken    string
 		LogLevel         logrus.Level
-		// StopMillis bounds the wait for requests in flight at a stop; 0 is
-		// no bound.
+		// StopMillis bounds how long a stop may take, including the wait for
+		// requests in flight; 0 means no bound.
 		StopMillis timekeeper.Millis
-		// MostInFlight is how many requests may be here at once; 0 leaves it
-		// to the forwarder.
+		// MostInFlight is the maximum number of requests in flight in this daemon;
+		// 0 means the forwarder's default.
 		MostInFlight int64
-		// LinkTLS is empty when links are not encrypted.
+		// LinkTLS is empty if links are not encrypted.
 		LinkTLS encrypter.Files
 		Tokens  []Token
 	}
 
+	// setting describes a setting of the file and how it is stored in a Config.
 	setting struct {
 		name     string
 		kind     parser.Kind
@@ -107,12 +108,12 @@
 	}
 )
 
-// Site returns the daemon's region and failure domain.
+// Site returns the daemon's site: its region and failure domain.
 func (c Config) Site() registrar.Site {
 	return registrar.Site(c.Region + "/" + c.Domain)
 }
 
-// ReadFile reads and checks a settings file. All problems are reported at once.
+// ReadFile reads and checks a settings file. It reports all problems at once.
 func ReadFile(path string) (Config, parser.Problems) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -149,13 +150,14 @@
 	return c, problems
 }
 
-// checkLinkTLS checks that the files of links are named all or none, and can be used.
+// checkLinkTLS checks that either all or none of the TLS files of links are set, and
+// that they can be loaded.
 func (c *Config) checkLinkTLS(file string, seen map[string]bool) (parser.Problems, bool) {
 	var missing parser.Problems
 	names := []string{"LinkTLS.Certificate", "LinkTLS.Key", "LinkTLS.Authority"}
 	for _, n := range names {
 		if !seen[n] {
-			missing = append(missing, parser.Problem{Position: parser.Position{File: file}, Path: n, Text: "is missing beside the other files of LinkTLS"})
+			missing = append(missing, parser.Problem{Position: parser.Position{File: file}, Path: n, Text: "is required because other LinkTLS files are set"})
 		}
 	}
 	switch len(missing) {
@@ -180,11 +182,12 @@
 		return fmt.Errorf("unknown setting%s", suggestion(e.Name()))
 	}
 	if settings[i].kind != e.Kind {
-		return fmt.Errorf("has a value of the wrong kind")
+		return fmt.Errorf("has a value of the wrong type")
 	}
 	return settings[i].set(c, e)
 }
 
+// suggestion returns a hint at the setting that was probably meant, or "".
 func suggestion(name string) string {
 	for _, f := range settings {
 		if strings.EqualFold(f.name, name) || strings.EqualFold(f.name, strings.TrimSuffix(name, "s")) {
@@ -194,7 +197,7 @@
 	return ""
 }
 
-// addToken reads `anna = "steer <hash>"`.
+// addToken adds the token of an entry such as `anna = "steer <hash>"`.
 func (c *Config) addToken(e parser.Entry) error {
 	role, hash, _ := strings.Cut(e.Text, " ")
 	t := Token{Who: e.Path[1], Role: roleNames[role]}
@@ -203,26 +206,26 @@
 	}
 	raw, err := hex.DecodeString(strings.TrimSpace(hash))
 	if err != nil || len(raw) != hashBytes {
-		return fmt.Errorf("needs a role and the SHA-256 of the token in hex, as `gullvale token` prints")
+		return fmt.Errorf("must be a role and the SHA-256 hash of the token in hex, as printed by `gullvale token`")
 	}
 	copy(t.Hash[:], raw)
 	c.Tokens = append(c.Tokens, t)
 	return nil
 }
 
-func setName(to *string, text string) error {
+func setName(dst *string, text string) error {
 	if !namePattern.MatchString(text) {
 		return fmt.Errorf("%q is not a name (a-z, 0-9 and '-', at most 40)", text)
 	}
-	*to = text
+	*dst = text
 	return nil
 }
 
-func setAddress(to *string, text string) error {
+func setAddress(dst *string, text string) error {
 	if _, err := netip.ParseAddrPort(text); err != nil {
 		return fmt.Errorf("%q is not an IP number with a port", text)
 	}
-	*to = text
+	*dst = text
 	return nil
 }
 
@@ -254,20 +257,20 @@
 	return nil
 }
 
-func setCount(to *int64, text string) error {
+func setCount(dst *int64, text string) error {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < 0 {
 		return fmt.Errorf("%q is not a number of requests", text)
 	}
-	*to = n
+	*dst = n
 	return nil
 }
 
-func setMillis(to *timekeeper.Millis, text string) error {
+func setMillis(dst *timekeeper.Millis, text string) error {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < 0 {
 		return fmt.Errorf("%q is not a time in milliseconds", text)
 	}
-	*to = timekeeper.Millis(n)
+	*dst = timekeeper.Millis(n)
 	return nil
 }
--- a/internal/process/configurer/doc.go
+++ b/internal/process/configurer/doc.go
@@ -1,3 +1,4 @@
-// Package configurer reads the settings file of a daemon: what a process must
-// know before it can reach anybody. Everything else is in the tree of settings.
+// Package configurer reads the settings file of a daemon, which holds what a process
+// needs before it can reach the platform or other daemons. All other settings are in
+// the tree of settings.
 package configurer
--- a/internal/process/logger/doc.go
+++ b/internal/process/logger/doc.go
@@ -1,3 +1,3 @@
-// Package logger sets up logrus for a process and sends the logs of go-zero
-// through it.
+// Package logger sets up logrus for a process and routes the logs of go-zero through
+// it.
 package logger
--- a/internal/process/logger/logger.go
+++ b/internal/process/logger/logger.go
@@ -10,22 +10,22 @@
 	"github.com/zeromicro/go-zero/core/stat"
 )
 
-// timeLayout is RFC 3339 to the millisecond: lines of several processes are put in
-// order by it, and a request takes some hundred milliseconds.
+// timeLayout is RFC 3339 with milliseconds, which are needed to order the lines of
+// several processes: a request takes some hundred milliseconds.
 const timeLayout = "2006-01-02T15:04:05.000Z07:00"
 
 var once sync.Once
 
-// New returns a logger of structured lines. The first call also routes the logs
-// of go-zero through it, since go-zero has one log for the process.
+// New returns a logger that writes JSON lines to w. The first call also routes the logs
+// of go-zero through the logger, since go-zero has a single log per process.
 func New(w io.Writer, level logrus.Level) *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(w)
 	l.SetLevel(level)
 	l.SetFormatter(&logrus.JSONFormatter{TimestampFormat: timeLayout})
 	once.Do(func() {
-		// go-zero sets up its log once, with a writer of its own. That must
-		// have happened before the writer is replaced.
+		// go-zero sets up its log once, with its own writer. Trigger that before
+		// replacing the writer.
 		_ = logx.SetUp(logx.LogConf{Mode: "console"})
 		logx.SetWriter(logxWriter{l})
 		logx.DisableStat()
@@ -34,8 +34,8 @@
 	return l
 }
 
-// bridge is go-zero's log writer over logrus. What go-zero logs for each
-// request, failed ones included, is at debug level here: requests are counted,
+// logxWriter implements go-zero's log writer with logrus. It logs go-zero's messages
+// about single requests, including failed ones, at debug level: requests are counted,
 // not logged, and their errors reach the caller anyway.
 type logxWriter struct {
 	log *logrus.Logger
--- a/internal/process/logger/queue.go
+++ b/internal/process/logger/queue.go
@@ -7,17 +7,16 @@
 )
 
 const (
-	// queueCapacity is how many lines wait to be written: about two seconds of a
-	// process that writes as many as it may.
+	// queueCapacity is how many lines may wait to be written: about two seconds of
+	// output at the maximum rate of log lines.
 	queueCapacity = 1024
 
-	// closeTimeout is how long Close waits for the lines that are left.
+	// closeTimeout bounds how long Close waits for the queued lines.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// Queue writes lines in the background, so that a reader of the logs that does not
-// keep up delays nothing. Lines that find no room are counted and left out. Build it
-// with NewQueue.
+// Queue writes lines in the background, so that a slow reader of the logs blocks
+// nothing. It drops and counts lines when it is full. Create it with NewQueue.
 type Queue struct {
 	out     io.Writer
 	lines   chan []byte
@@ -25,15 +24,15 @@
 	dropped atomic.Uint64
 }
 
-// NewQueue starts a queue in front of out.
+// NewQueue starts a queue that writes to out.
 func NewQueue(out io.Writer) *Queue {
 	q := &Queue{out: out, lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go q.run()
 	return q
 }
 
-// Write queues one line. It always reports success, since a caller could do nothing
-// about a line that is left out.
+// Write queues a copy of one line. It always returns success, since a caller can do
+// nothing about a dropped line.
 func (q *Queue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -43,13 +42,13 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were left out.
+// Dropped returns the number of dropped lines.
 func (q *Queue) Dropped() uint64 {
 	return q.dropped.Load()
 }
 
-// Close writes what is queued, for a short time at most. Nothing may be written
-// afterwards.
+// Close waits at most closeTimeout for the queued lines to be written. Write must not be
+// called afterwards.
 func (q *Queue) Close() {
 	close(q.lines)
 	select {
@@ -61,7 +60,7 @@
 func (q *Queue) run() {
 	defer close(q.done)
 	for line := range q.lines {
-		// There is no place left to tell of a log that cannot be written.
+		// Ignore the error: there is nowhere to log that the log cannot be written.
 		_, _ = q.out.Write(line)
 	}
 }
--- a/internal/process/logger/queue_test.go
+++ b/internal/process/logger/queue_test.go
@@ -12,7 +12,7 @@
 	"github.com/gullvale/gullvale/internal/process/logger"
 )
 
-// stuck is a writer that nobody reads.
+// blockedWriter is a writer that blocks until release is closed.
 type blockedWriter struct{ release chan struct{} }
 
 func (s blockedWriter) Write(p []byte) (int, error) {
@@ -47,11 +47,11 @@
 	}
 	is.True(q.Dropped() > 0)
 	is.True(q.Dropped() < lines)
-	q.Close() // does not wait for a writer that is stuck
+	q.Close() // does not wait for a blocked writer
 	close(s.release)
 }
 
-// One line about a request.
+// BenchmarkLine measures logging one line about a request.
 func BenchmarkLine(b *testing.B) {
 	l := logger.New(logger.NewQueue(io.Discard), logrus.InfoLevel)
 	for b.Loop() {
--- a/internal/process/measurer/doc.go
+++ b/internal/process/measurer/doc.go
@@ -1,3 +1,3 @@
-// Package measurer counts and times what a daemon does, through tally, and
-// shows it as Prometheus text.
+// Package measurer records the metrics of a daemon with tally and exposes them in the
+// Prometheus text format.
 package measurer
--- a/internal/process/measurer/meter.go
+++ b/internal/process/measurer/meter.go
@@ -16,7 +16,7 @@
 	flushInterval = time.Second
 )
 
-// latencyBuckets cover a look-up in microseconds to an export of an hour.
+// latencyBuckets range from lookups that take microseconds to exports that take an hour.
 var latencyBuckets = tally.DurationBuckets{
 	0,
 	500 * time.Microsecond,
@@ -41,7 +41,7 @@
 }
 
 type (
-	// Meter is the metrics of one daemon. Build it with New.
+	// Meter holds the metrics of one daemon. Create it with New.
 	Meter struct {
 		scope    tally.Scope
 		reporter prometheus.Reporter
@@ -51,11 +51,12 @@
 		histograms sync.Map
 	}
 
-	// Labels tell metrics of one name apart.
+	// Labels distinguish metrics with the same name.
 	Labels struct {
 		Service string
 		Class   string
-		// Kind is the outcome, the reason, or whatever the name says.
+		// Kind is the outcome, the reason, or another dimension specific to the
+		// metric.
 		Kind string
 	}
 
@@ -65,9 +66,9 @@
 	}
 )
 
-// New starts a meter.
+// New returns a meter with its own Prometheus registry.
 func New() *Meter {
-	// A registry of its own, so that one process can hold several daemons.
+	// A separate registry allows several daemons in one process.
 	registry := registerer.NewRegistry()
 	r := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -78,12 +79,12 @@
 	return &Meter{scope: scope, reporter: r, closer: closer}
 }
 
-// Close stops the meter.
+// Close flushes and stops the meter.
 func (m *Meter) Close() {
 	_ = m.closer.Close()
 }
 
-// Handler serves the metrics as Prometheus text.
+// Handler returns a handler that serves the metrics in the Prometheus text format.
 func (m *Meter) Handler() http.Handler {
 	return m.reporter.HTTPHandler()
 }
@@ -98,13 +99,13 @@
 	m.counter(name, l).Inc(n)
 }
 
-// Adder returns what adds to a counter, for those who count often: looking the counter up
-// takes longer than adding to it.
+// Adder returns a function that adds to a counter. Callers that count often should use it,
+// since looking up the counter takes longer than adding to it.
 func (m *Meter) Adder(name string, l Labels) func(n int64) {
 	return m.counter(name, l).Inc
 }
 
-// Observe adds a length of time to the histogram of a service and class.
+// Observe adds a duration to a histogram.
 func (m *Meter) Observe(name string, l Labels, d time.Duration) {
 	k := metricKey{name, l}
 	h, ok := m.histograms.Load(k)
@@ -128,7 +129,8 @@
 	return c.(tally.Counter)
 }
 
-// taggedScope always sets all labels: one name has one set of them.
+// taggedScope returns the scope for l. It always sets all labels, since all metrics of
+// one name must have the same label names.
 func (m *Meter) taggedScope(l Labels) tally.Scope {
 	return m.scope.Tagged(map[string]string{
 		"service": labelValue(l.Service),
