--- a/internal/process/changer/changer.go
+++ b/internal/process/changer/changer.go
@@ -175,7 +175,7 @@
 		}
 	}
 	if r.Edits == nil {
-		return nil, parser.Problems{{Path: fmt.Sprintf("change %d", r.Undo), Text: "is not in the retained change log"}}
+		return nil, parser.Problems{{Path: fmt.Sprintf("change %d", r.Undo), Text: "is not among the changes kept"}}
 	}
 	return r.Edits, nil
 }
