--- a/internal/process/logger/queue_test.go
+++ b/internal/process/logger/queue_test.go
@@ -12,10 +12,10 @@
 	"github.com/gullvale/gullvale/internal/process/logger"
 )
 
-// stuck is a writer that nobody reads.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a writer that blocks until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
@@ -38,7 +38,7 @@
 
 func TestQueueNeverBlocks(t *testing.T) {
 	is := is.New(t)
-	s := stuck{make(chan struct{})}
+	s := blockedWriter{make(chan struct{})}
 	q := logger.NewQueue(s)
 	const lines = 5000
 	for range lines {
@@ -47,11 +47,11 @@
 	}
 	is.True(q.Dropped() > 0)
 	is.True(q.Dropped() < lines)
-	q.Close() // does not wait for a writer that is stuck
+	q.Close() // does not wait for a blocked writer
 	close(s.release)
 }
 
-// One line about a request.
+// BenchmarkLine measures logging one line about a request.
 func BenchmarkLine(b *testing.B) {
 	l := logger.New(logger.NewQueue(io.Discard), logrus.InfoLevel)
 	for b.Loop() {
--- a/internal/process/operator/page.go
+++ b/internal/process/operator/page.go
@@ -9,15 +9,15 @@
 	"sync"
 )
 
-// PathPage is the page for phones. It holds no secrets: what it shows it asks for
-// with the operator's token.
+// PathPage is the path of the web page for phones. The page holds no secrets: it
+// fetches its data with the operator's token.
 const PathPage = "/"
 
 //go:embed page/index.html
 var page []byte
 
-// packedPage is the page as it goes over poor links.
-var packedPage = sync.OnceValue(func() []byte {
+// compressedPage returns the page compressed with gzip, for slow connections.
+var compressedPage = sync.OnceValue(func() []byte {
 	var b bytes.Buffer
 	w, _ := gzip.NewWriterLevel(&b, gzip.BestCompression)
 	_, _ = w.Write(page)
@@ -33,7 +33,7 @@
 	h.Set("Referrer-Policy", "no-referrer")
 	if strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		h.Set("Content-Encoding", "gzip")
-		_, _ = w.Write(packedPage())
+		_, _ = w.Write(compressedPage())
 		return
 	}
 	_, _ = w.Write(page)
--- a/internal/process/operator/server.go
+++ b/internal/process/operator/server.go
@@ -31,48 +31,50 @@
 
 const (
 	maxRequestBytes = 64 << 20
-	idBytes         = 9
+	changeIDBytes   = 9
 )
 
 type (
-	// Server serves operators. Set the exported fields before use.
+	// Server handles the requests of operators. Set the exported fields before use.
 	Server struct {
 		Tokens  []configurer.Token
 		Store   *storer.Client
 		Log     *recorder.Log
 		Applier *applier.Applier
 		Changer *changer.Changer
-		// Status describes the fleet.
+		// Status returns the status of the fleet.
 		Status func(context.Context) Status
-		// Outlook works out headroom and losses.
+		// Outlook computes headroom and losses.
 		Outlook func(context.Context) (Outlook, error)
-		// InForce tells on how many daemons a number is in force.
+		// InForce counts the daemons on which the settings with a number are in
+		// force.
 		InForce func(context.Context, recorder.Number) (InForceAnswer, error)
-		// Healthy tells whether the daemon takes new work, and if not, why.
+		// Healthy reports whether the daemon accepts new requests and, if not, why.
 		Healthy func() (bool, string)
-		// Quarantine knows requests that crash upstreams.
+		// Quarantine tracks requests that crash upstreams.
 		Quarantine *quarantiner.Quarantiner
 		Metrics    http.Handler
-		// Lookup answers look-ups for operators who want to see them.
+		// Lookup serves lookups to operators.
 		Lookup http.Handler
 	}
 
-	// who is the operator of a call.
-	who struct {
+	// identity is the operator who makes a call. The role is RoleNone if the token is
+	// missing or unknown.
+	identity struct {
 		name string
 		role configurer.Role
 		from string
 	}
 
-	handler func(context.Context, who, *http.Request) (any, error)
+	handler func(context.Context, identity, *http.Request) (any, error)
 
-	// inputError is a call that cannot be understood.
+	// inputError reports invalid input in a call.
 	inputError struct{ text string }
 )
 
 func (e inputError) Error() string { return e.text }
 
-// Handler returns the routes.
+// Handler returns the handler of all routes.
 func (s *Server) Handler() (http.Handler, error) {
 	view := configurer.RoleView
 	steer := configurer.RoleSteer
@@ -85,10 +87,10 @@
 			s.route(http.MethodGet, PathInForce, view, s.inForce),
 			s.route(http.MethodGet, PathStatus, view, s.status),
 			s.route(http.MethodGet, PathOutlook, view, s.outlook),
-			s.route(http.MethodGet, quarantiner.PathList, view, s.quarantined),
-			s.route(http.MethodPost, quarantiner.PathLift, steer, s.lift),
+			s.route(http.MethodGet, quarantiner.PathList, view, s.listQuarantine),
+			s.route(http.MethodPost, quarantiner.PathLift, steer, s.liftQuarantine),
 			s.route(http.MethodPost, PathChange, steer, s.change),
-			s.route(http.MethodPost, PathBlocks, configurer.RoleAdminister, s.blocks),
+			s.route(http.MethodPost, PathBlocks, configurer.RoleAdminister, s.storeBlocks),
 			{Method: http.MethodGet, Path: PathPage, Handler: servePage},
 			{Method: http.MethodGet, Path: PathLookup, Handler: s.Lookup.ServeHTTP},
 			{Method: http.MethodGet, Path: PathMetrics, Handler: s.Metrics.ServeHTTP},
@@ -97,28 +99,28 @@
 	})
 }
 
-func (s *Server) route(method, path string, least configurer.Role, h handler) rest.Route {
+func (s *Server) route(method, path string, required configurer.Role, h handler) rest.Route {
 	return rest.Route{Method: method, Path: path, Handler: func(w http.ResponseWriter, r *http.Request) {
 		o := s.identify(r)
-		if o.role < least {
-			write(w, http.StatusForbidden, ErrorAnswer{Failure: FailureForbidden, Text: s.denial(o, least)})
+		if o.role < required {
+			writeJSON(w, http.StatusForbidden, ErrorAnswer{Failure: FailureForbidden, Text: s.denialText(o, required)})
 			return
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, maxRequestBytes)
 		answer, err := h(r.Context(), o, r)
 		if err != nil {
-			status, e := explain(err)
-			write(w, status, e)
+			status, e := errorResponse(err)
+			writeJSON(w, status, e)
 			return
 		}
-		write(w, http.StatusOK, answer)
+		writeJSON(w, http.StatusOK, answer)
 	}}
 }
 
-// identify finds the operator by the hash of the token. Every token is
-// compared, so the time taken tells nothing.
-func (s *Server) identify(r *http.Request) who {
-	out := who{}
+// identify returns the operator whose token hash matches. It compares all tokens, so
+// that the time taken reveals nothing about them.
+func (s *Server) identify(r *http.Request) identity {
+	out := identity{}
 	out.from, _, _ = net.SplitHostPort(r.RemoteAddr)
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -134,19 +136,19 @@
 	return out
 }
 
-func (s *Server) denial(o who, least configurer.Role) string {
+func (s *Server) denialText(o identity, required configurer.Role) string {
 	switch {
 	case len(s.Tokens) == 0:
 		return "this daemon has no tokens in its settings"
 	case o.role == configurer.RoleNone:
 		return "the token is missing or unknown"
-	case least == configurer.RoleAdminister:
-		return o.name + " may not do this; it takes the role administer"
+	case required == configurer.RoleAdminister:
+		return o.name + " is not allowed to do this: it requires the role administer"
 	}
-	return o.name + " may not do this; it takes the role steer"
+	return o.name + " is not allowed to do this: it requires the role steer"
 }
 
-func (s *Server) settings(_ context.Context, _ who, r *http.Request) (any, error) {
+func (s *Server) settings(_ context.Context, _ identity, r *http.Request) (any, error) {
 	p, err := resolver.ParsePath(r.URL.Query().Get("Path"))
 	if err != nil {
 		return nil, inputError{err.Error()}
@@ -157,45 +159,45 @@
 	return SettingsAnswer{Number: n, Path: p.String(), Values: t.Explain(p), Beneath: beneath}, nil
 }
 
-func (s *Server) toml(context.Context, who, *http.Request) (any, error) {
+func (s *Server) toml(context.Context, identity, *http.Request) (any, error) {
 	t, n := s.Applier.State()
 	return TOMLAnswer{Number: n, Text: t.TOML()}, nil
 }
 
-func (s *Server) log(ctx context.Context, _ who, r *http.Request) (any, error) {
-	after, err := number(r, "After")
+func (s *Server) log(ctx context.Context, _ identity, r *http.Request) (any, error) {
+	after, err := queryNumber(r, "After")
 	if err != nil {
 		return nil, err
 	}
 	changes, err := s.Log.Read(ctx, after)
 	if err != nil {
-		// In an outage of the platform, what is kept here must do.
+		// During an outage of the platform, return the changes retained locally.
 		changes = s.Applier.History(after)
 	}
 	return LogAnswer{Changes: changes}, nil
 }
 
-func (s *Server) inForce(ctx context.Context, _ who, r *http.Request) (any, error) {
-	n, err := number(r, "Number")
+func (s *Server) inForce(ctx context.Context, _ identity, r *http.Request) (any, error) {
+	n, err := queryNumber(r, "Number")
 	if err != nil {
 		return nil, err
 	}
 	return s.InForce(ctx, n)
 }
 
-func (s *Server) status(ctx context.Context, _ who, _ *http.Request) (any, error) {
+func (s *Server) status(ctx context.Context, _ identity, _ *http.Request) (any, error) {
 	return s.Status(ctx), nil
 }
 
-func (s *Server) outlook(ctx context.Context, _ who, _ *http.Request) (any, error) {
+func (s *Server) outlook(ctx context.Context, _ identity, _ *http.Request) (any, error) {
 	return s.Outlook(ctx)
 }
 
-func (s *Server) quarantined(context.Context, who, *http.Request) (any, error) {
+func (s *Server) listQuarantine(context.Context, identity, *http.Request) (any, error) {
 	return s.Quarantine.List(), nil
 }
 
-func (s *Server) lift(_ context.Context, _ who, r *http.Request) (any, error) {
+func (s *Server) liftQuarantine(_ context.Context, _ identity, r *http.Request) (any, error) {
 	l, err := s.Quarantine.Lift(r.URL.Query().Get(quarantiner.FieldFingerprint))
 	if err != nil {
 		return nil, inputError{err.Error()}
@@ -203,7 +205,7 @@
 	return l, nil
 }
 
-func (s *Server) change(ctx context.Context, o who, r *http.Request) (any, error) {
+func (s *Server) change(ctx context.Context, o identity, r *http.Request) (any, error) {
 	var q ChangeRequest
 	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
 		return nil, inputError{"body: " + err.Error()}
@@ -238,8 +240,8 @@
 	}, nil
 }
 
-// edits returns what is to be edited. A whole tree becomes its difference to
-// the one in force.
+// edits returns the requested edits. For a whole tree these are its difference from the
+// tree in force.
 func (s *Server) edits(q ChangeRequest) ([]resolver.Edit, error) {
 	if q.TOML == "" {
 		return q.Edits, nil
@@ -253,11 +255,11 @@
 	return now.Difference(next), nil
 }
 
-// blocks stores a table of client blocks under a new name.
-func (s *Server) blocks(ctx context.Context, _ who, r *http.Request) (any, error) {
+// storeBlocks stores a table of client blocks under a new name.
+func (s *Server) storeBlocks(ctx context.Context, _ identity, r *http.Request) (any, error) {
 	name := r.URL.Query().Get("Name")
 	if name == "" || strings.ContainsAny(name, "/ ") {
-		return nil, inputError{"Name is missing or has a blank or slash in it"}
+		return nil, inputError{"Name is missing or contains a space or slash"}
 	}
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -277,15 +279,15 @@
 }
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
-	ok, why := s.Healthy()
+	ok, reason := s.Healthy()
 	if !ok {
-		http.Error(w, why, http.StatusServiceUnavailable)
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = io.WriteString(w, "ok\n")
 }
 
-func number(r *http.Request, name string) (recorder.Number, error) {
+func queryNumber(r *http.Request, name string) (recorder.Number, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
@@ -297,10 +299,10 @@
 	return recorder.Number(n), nil
 }
 
-// explain turns an error into an answer.
-func explain(err error) (int, ErrorAnswer) {
+// errorResponse returns the HTTP status and response for an error.
+func errorResponse(err error) (int, ErrorAnswer) {
 	var problems parser.Problems
-	var unsafe *changer.GuardError
+	var unsafe *changer.OverloadError
 	var conflict *recorder.ConflictError
 	var input inputError
 	e := ErrorAnswer{Text: err.Error()}
@@ -317,7 +319,7 @@
 		e.Failure = FailureInput
 		e.Problems = problems
 		return http.StatusBadRequest, e
-	case errors.As(err, &input), errors.Is(err, changer.ErrNothing), errors.Is(err, storer.ErrConflict):
+	case errors.As(err, &input), errors.Is(err, changer.ErrNoChange), errors.Is(err, storer.ErrConflict):
 		e.Failure = FailureInput
 		return http.StatusBadRequest, e
 	case errors.Is(err, storer.ErrUnknown):
@@ -328,20 +330,20 @@
 	return http.StatusServiceUnavailable, e
 }
 
-func write(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// NewChangeID returns an id that no other change has.
+// NewChangeID returns a new random, unique change id.
 func NewChangeID() recorder.ChangeID {
-	b := make([]byte, idBytes)
+	b := make([]byte, changeIDBytes)
 	_, _ = rand.Read(b)
 	return recorder.ChangeID(hex.EncodeToString(b))
 }
 
-// HashToken returns the hash of a token as settings files hold it.
+// HashToken returns the SHA-256 hash of a token in hex, the form used in settings files.
 func HashToken(token string) string {
 	h := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(h[:])
