--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -10,35 +10,36 @@
 	"github.com/gullvale/gullvale/internal/request/quarantiner"
 )
 
-// beginning keeps the first part of a long body, as it passes, so that its request can be
-// recognised.
-type beginning struct {
+// prefixReader keeps the first part of a streamed body as it is read, so that the request can
+// be fingerprinted.
+type prefixReader struct {
 	body io.Reader
-	// ready tells that the body may be read before a slot is held: that of a call which came
-	// over a link arrives only after that.
-	ready bool
+	// readable means that the body may be read before a slot is held. The body of a call that
+	// came over a link arrives only once a slot is held.
+	readable bool
 
 	lock sync.Mutex
-	// kept is the first part, and unread what of it was read ahead.
-	kept   []byte
-	unread []byte
+	// buffered is the first part of the body, and unread the part of it that was read ahead
+	// but not consumed yet.
+	buffered []byte
+	unread   []byte
 }
 
-// Read keeps what it reads, up to shortBody bytes.
-func (b *beginning) Read(p []byte) (int, error) {
+// Read reads from the body and keeps up to maxBufferedBody bytes.
+func (b *prefixReader) Read(p []byte) (int, error) {
 	if n := b.takeUnread(p); n > 0 {
 		return n, nil
 	}
 	n, err := b.body.Read(p)
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	if room := shortBody - len(b.kept); room > 0 {
-		b.kept = append(b.kept, p[:min(n, room)]...)
+	if room := maxBufferedBody - len(b.buffered); room > 0 {
+		b.buffered = append(b.buffered, p[:min(n, room)]...)
 	}
 	return n, err
 }
 
-func (b *beginning) takeUnread(p []byte) int {
+func (b *prefixReader) takeUnread(p []byte) int {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	n := copy(p, b.unread)
@@ -46,110 +47,111 @@
 	return n
 }
 
-// Close tells the source of the body that nobody reads it any more.
-func (b *beginning) Close() error {
+// Close tells the source of the body that it is no longer read.
+func (b *prefixReader) Close() error {
 	if c, ok := b.body.(io.Closer); ok {
 		return c.Close()
 	}
 	return nil
 }
 
-// ahead reads the first part before anybody else does. An error comes again with the next
-// read.
-func (b *beginning) ahead() {
-	if _, whole := b.first(); whole || !b.ready {
+// readAhead reads the first part of the body before it is consumed. An error is returned by
+// the next Read.
+func (b *prefixReader) readAhead() {
+	if _, whole := b.prefix(); whole || !b.readable {
 		return
 	}
-	head := make([]byte, shortBody)
+	head := make([]byte, maxBufferedBody)
 	n, _ := io.ReadFull(b.body, head)
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.kept, b.unread = head[:n], head[:n]
+	b.buffered, b.unread = head[:n], head[:n]
 }
 
-// first returns what was kept, and whether that is the whole first part.
-func (b *beginning) first() ([]byte, bool) {
+// prefix returns what was kept, and whether that is the whole first part.
+func (b *prefixReader) prefix() ([]byte, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	return bytes.Clone(b.kept), len(b.kept) == shortBody
+	return bytes.Clone(b.buffered), len(b.buffered) == maxBufferedBody
 }
 
-// fingerprint returns what stands for a call. The service counts in place of the host, which
-// is the entry's own address where a caller names the service. Of a long body its beginning
-// and its length count.
+// fingerprint returns the fingerprint of a call. It uses the service in place of the host,
+// since the host is the entry's own address if the caller names the service in a header. Of a
+// streamed body it uses the beginning and the length.
 func fingerprint(c *exchanger.Call, body []byte) quarantiner.Fingerprint {
 	return quarantiner.Content{
 		Method: c.Method, Host: string(c.Service), Target: c.Target,
-		Caller: quarantiner.Caller(c.Header), Body: body, Length: c.Length,
+		Caller: quarantiner.CallerCredentials(c.Header), Body: body, Length: c.Length,
 	}.Fingerprint()
 }
 
-// print returns what stands for the call of the try, and reports false for a long body of which
-// too little was read to tell.
-func (t *try) print() (quarantiner.Fingerprint, bool) {
+// callFingerprint returns the fingerprint of the call, and reports false if too little of a
+// streamed body was read to compute it.
+func (t *attempts) callFingerprint() (quarantiner.Fingerprint, bool) {
 	if t.fingerprint != nil {
 		return *t.fingerprint, true
 	}
 	body := t.call.Short
 	if t.body != nil {
-		first, whole := t.body.first()
+		prefix, whole := t.body.prefix()
 		if !whole {
 			return quarantiner.Fingerprint{}, false
 		}
-		body = first
+		body = prefix
 	}
 	f := fingerprint(t.call, body)
 	t.fingerprint = &f
 	return f, true
 }
 
-// suspected tells whether any request is a suspect now: nearly always none is.
-func (f *Forwarder) suspected() bool {
-	return f.Quarantine != nil && f.Quarantine.Any()
+// anySuspects reports whether any request is currently a suspect. Usually none is.
+func (f *Forwarder) anySuspects() bool {
+	return f.Quarantine != nil && f.Quarantine.HasSuspects()
 }
 
-// barred refuses a call that is in quarantine.
-func (f *Forwarder) barred(t *try) (exchanger.Result, bool) {
-	if !f.suspected() {
+// quarantined returns a refusal for a call, and whether the call is in quarantine.
+func (f *Forwarder) quarantined(t *attempts) (exchanger.Result, bool) {
+	if !f.anySuspects() {
 		return exchanger.Result{}, false
 	}
 	if t.body != nil && !t.admitted {
-		t.body.ahead()
+		t.body.readAhead()
 	}
-	known, ok := t.print()
+	known, ok := t.callFingerprint()
 	if !ok {
 		return exchanger.Result{}, false
 	}
-	t.sighting = f.Quarantine.Look(known, t.sighting)
-	return exchanger.Refused(exchanger.ReasonQuarantined, t.sighting.After), t.sighting.Barred
+	t.observation = f.Quarantine.Look(known, t.observation)
+	return exchanger.Refused(exchanger.ReasonQuarantined, t.observation.After), t.observation.Barred
 }
 
-// judge takes in what a run says of its call.
-func (f *Forwarder) judge(t *try, r exchanger.Result) {
+// updateSuspect records what the result of an attempt says about its call: that it crashed the
+// upstream, or that it is innocent.
+func (f *Forwarder) updateSuspect(t *attempts, r exchanger.Result) {
 	if f.Quarantine == nil {
 		return
 	}
-	ended := r.Reason == exchanger.ReasonUpstreamEnded
+	crashed := r.Reason == exchanger.ReasonUpstreamEnded
 	innocent := r.Outcome == exchanger.Answered && r.Whole && t.status < http.StatusInternalServerError
-	if !ended && (!innocent || !f.Quarantine.Any()) {
+	if !crashed && (!innocent || !f.Quarantine.HasSuspects()) {
 		return
 	}
-	known, ok := t.print()
+	known, ok := t.callFingerprint()
 	switch {
 	case !ok:
-	case ended:
-		t.sighting.Fingerprint = known
-		t.careful = f.Quarantine.Crashed(t.sighting).Careful()
+	case crashed:
+		t.observation.Fingerprint = known
+		t.isolated = f.Quarantine.Crashed(t.observation).Isolated()
 	default:
 		f.Quarantine.Answered(known)
 	}
 }
 
-// Admit refuses a call that came into quarantine while it waited for a slot.
+// Admit refuses a call that was quarantined while it waited for a slot.
 func (f *Forwarder) Admit(c *exchanger.Call) (exchanger.Result, bool) {
-	if c.Body != nil || !f.suspected() {
+	if c.Body != nil || !f.anySuspects() {
 		return exchanger.Result{}, false
 	}
-	left, held := f.Quarantine.Holds(fingerprint(c, c.Short))
+	left, held := f.Quarantine.Remaining(fingerprint(c, c.Short))
 	return exchanger.Refused(exchanger.ReasonQuarantined, left), held
 }
--- a/internal/request/forwarder/route.go
+++ b/internal/request/forwarder/route.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	maxTries = 4
+	maxAttempts = 4
 
-	// linkWait is how long a request waits for a link that is not up yet.
-	linkWait = timekeeper.Second
+	// linkTimeout is how long a request waits for a link to come up.
+	linkTimeout = timekeeper.Second
 )
 
 // candidate is a daemon that may run a request.
 type candidate struct {
-	// peer is nil for this daemon itself.
-	peer  *linker.Peer
+	// peer is nil for this daemon.
+	peer *linker.Peer
+	// relay means that the daemon is asked to choose the owner.
 	relay bool
 	free  int
 	slots int
 }
 
-// runAtSite finds a daemon for the call at its site and runs it there, again if it
-// may.
-func (f *Forwarder) runAtSite(ctx context.Context, t *try) exchanger.Result {
+// runAtSite runs the call at its site, and retries it there as far as that is allowed.
+func (f *Forwarder) runAtSite(ctx context.Context, t *attempts) exchanger.Result {
 	c := t.call
 	b := f.budgets.of(c.Service)
-	t.tried = map[registrar.Incarnation]bool{}
+	t.attempted = map[registrar.Incarnation]bool{}
 	for n := 1; ; n++ {
-		if r, barred := f.barred(t); barred {
+		if r, quarantined := f.quarantined(t); quarantined {
 			return r
 		}
-		r := f.once(ctx, t)
-		f.judge(t, r)
+		r := f.attemptOnce(ctx, t)
+		f.updateSuspect(t, r)
 		t.mayHaveRun = t.mayHaveRun || r.Outcome == exchanger.Unknown
-		if n == maxTries || !t.again(r) || f.late(c) || ctx.Err() != nil {
+		if n == maxAttempts || !t.mayRetry(r) || f.expired(c) || ctx.Err() != nil {
 			return r
 		}
 		if reachedUpstream(r) && !b.spend() {
@@ -53,41 +53,41 @@
 	}
 }
 
-// try is the tries of one call.
-type try struct {
+// attempts tracks all attempts of one call.
+type attempts struct {
 	call       *exchanger.Call
 	idempotent bool
 	started    bool
 	admitted   bool
-	tried      map[registrar.Incarnation]bool
-	// mayHaveRun is that a try ended without telling.
+	attempted  map[registrar.Incarnation]bool
+	// mayHaveRun means that an attempt ended with an unknown outcome.
 	mayHaveRun bool
 
-	// status is that of the answer, 0 for none.
+	// status is the status of the response, or 0 if there is none yet.
 	status int
-	// body is a long body, nil if there is none.
-	body *beginning
-	// fingerprint stands for the call once it was asked for, sighting is what was known of it
-	// as a suspect before its latest try, and careful tells that it has crashed upstreams more
-	// than once.
+	// body is the body if it is streamed, else nil.
+	body *prefixReader
+	// fingerprint is nil until it is computed. observation is what was known of the call as a
+	// suspect before its last attempt. isolated means that the call has crashed more than one
+	// upstream.
 	fingerprint *quarantiner.Fingerprint
-	sighting    quarantiner.Sighting
-	careful     bool
+	observation quarantiner.Sighting
+	isolated    bool
 }
 
-// truth returns the result of all tries from that of the last: when it did not run,
-// an earlier one may have.
-func (t *try) truth(r exchanger.Result) exchanger.Result {
+// overallResult returns the result of the call given that of its last attempt: if that attempt
+// did not run, an earlier one may have.
+func (t *attempts) overallResult(r exchanger.Result) exchanger.Result {
 	if t.mayHaveRun && r.Outcome == exchanger.NotRun {
 		r.Outcome = exchanger.Unknown
 	}
 	return r
 }
 
-// hook notes how far the call gets.
-func (t *try) hook() {
+// trackProgress wraps the call's callbacks and body to track its progress.
+func (t *attempts) trackProgress() {
 	if t.call.Body != nil {
-		t.body = &beginning{body: t.call.Body, ready: t.call.BodyReady}
+		t.body = &prefixReader{body: t.call.Body, readable: t.call.BodyReady}
 		t.call.Body = t.body
 	}
 	start := t.call.Start
@@ -104,31 +104,30 @@
 	}
 }
 
-// again tells whether the call may run once more: nothing was passed on, its
-// body is still there, and it did not run or may run twice.
-func (t *try) again(r exchanger.Result) bool {
-	if !t.fresh() {
+// mayRetry reports whether the call may be retried: nothing was forwarded in either direction,
+// and it either did not run or is idempotent.
+func (t *attempts) mayRetry(r exchanger.Result) bool {
+	if !t.untouched() {
 		return false
 	}
 	switch r.Outcome {
 	case exchanger.NotRun:
-		return elsewhere(r.Reason)
+		return retryable(r.Reason)
 	case exchanger.Unknown:
-		return t.idempotent && !t.careful
+		return t.idempotent && !t.isolated
 	}
 	return false
 }
 
-// fresh tells whether the call is as it came: nothing of it was passed on either
-// way.
-func (t *try) fresh() bool {
+// untouched reports whether neither a streamed body nor a response was forwarded yet.
+func (t *attempts) untouched() bool {
 	return !t.started && (t.call.Body == nil || !t.admitted)
 }
 
-// reachedUpstream tells whether a try cost an upstream anything. The budget of
-// retries protects upstreams; while they pass from one owner to another, requests
-// come to daemons that own them no more or not yet. When those tries counted too,
-// 27 to 64 of 100 requests sent at once were refused.
+// reachedUpstream reports whether an attempt cost an upstream anything, and so counts against
+// the retry budget, which protects upstreams. While upstreams pass from one owner to another,
+// requests reach daemons that no longer own them, or not yet. When those attempts counted as
+// well, 27 to 64 of 100 concurrent requests were refused.
 func reachedUpstream(r exchanger.Result) bool {
 	switch r.Reason {
 	case exchanger.ReasonNotOwner, exchanger.ReasonLinkDial, exchanger.ReasonStopping, exchanger.ReasonNoEntry:
@@ -137,8 +136,9 @@
 	return true
 }
 
-// elsewhere tells whether another try may fare better.
-func elsewhere(r exchanger.Reason) bool {
+// retryable reports whether an attempt that did not run for this reason may succeed elsewhere
+// or later.
+func retryable(r exchanger.Reason) bool {
 	switch r {
 	case exchanger.ReasonNotOwner, exchanger.ReasonLinkDial, exchanger.ReasonUpstreamDial,
 		exchanger.ReasonUpstreamBusy, exchanger.ReasonPaused, exchanger.ReasonNoUpstream,
@@ -148,46 +148,46 @@
 	return false
 }
 
-func (f *Forwarder) late(c *exchanger.Call) bool {
+func (f *Forwarder) expired(c *exchanger.Call) bool {
 	return c.Deadline > 0 && f.Clock.Now() >= c.Deadline
 }
 
-// once runs the call on the best candidate now.
-func (f *Forwarder) once(ctx context.Context, t *try) exchanger.Result {
+// attemptOnce runs the call once, on the best candidate at present.
+func (f *Forwarder) attemptOnce(ctx context.Context, t *attempts) exchanger.Result {
 	snapshot := f.Snapshot()
-	best, ok := f.choose(ctx, snapshot, t)
+	best, ok := f.chooseCandidate(ctx, snapshot, t)
 	if !ok {
 		return exchanger.Refused(exchanger.ReasonNoEntry, timekeeper.Second)
 	}
 	if best.peer == nil {
 		r := f.Owner.Run(ctx, t.call)
-		t.note(f.Self().Incarnation, r)
+		t.recordAttempt(f.Self().Incarnation, r)
 		return r
 	}
 	r := best.peer.Run(ctx, t.call, best.relay)
-	t.note(best.peer.Member().Incarnation, r)
+	t.recordAttempt(best.peer.Member().Incarnation, r)
 	return r
 }
 
-// note remembers that a daemon was tried. One whose upstream was not reached may be
-// tried again: it has taken that upstream out of use.
-func (t *try) note(i registrar.Incarnation, r exchanger.Result) {
-	t.tried[i] = r.Reason != exchanger.ReasonUpstreamDial
+// recordAttempt records that a daemon was asked. If its upstream could not be dialled, the
+// daemon may be asked again: it has taken that upstream out of use.
+func (t *attempts) recordAttempt(i registrar.Incarnation, r exchanger.Result) {
+	t.attempted[i] = r.Reason != exchanger.ReasonUpstreamDial
 }
 
-// choose returns the daemon to run the call: this one while it has a slot free,
-// else the one known to have most, else one of the site that will choose.
-func (f *Forwarder) choose(ctx context.Context, s *steerer.Snapshot, t *try) (candidate, bool) {
+// chooseCandidate returns the daemon to run the call: this one while it has a free slot, else
+// the one known to have the most, else one of the site that will choose the owner.
+func (f *Forwarder) chooseCandidate(ctx context.Context, s *steerer.Snapshot, t *attempts) (candidate, bool) {
 	k := pooler.KeyOf(t.call)
 	serving := s.View.Serving(k.Site)
 	var best candidate
 	found := false
 	for _, m := range serving {
 		c, ok := f.candidate(m, k)
-		if !ok || t.tried[m.Incarnation] {
+		if !ok || t.attempted[m.Incarnation] {
 			continue
 		}
-		if !found || c.better(best) {
+		if !found || c.betterThan(best) {
 			best, found = c, true
 		}
 		if c.peer == nil && c.free > 0 {
@@ -197,17 +197,18 @@
 	if found {
 		return best, true
 	}
-	return f.relay(ctx, serving, t)
+	return f.chooseRelay(ctx, serving, t)
 }
 
-// candidate returns m if it is known to own upstreams of k.
+// candidate returns m as a candidate, and reports false if m is not known to own upstreams of
+// k.
 func (f *Forwarder) candidate(m registrar.Member, k pooler.Key) (candidate, bool) {
 	if m.Incarnation == f.Self().Incarnation {
 		free, slots := f.Owner.Free(k)
 		return candidate{free: free, slots: slots}, slots > 0
 	}
-	// A link that there is not yet is dialled, for the requests that follow: who
-	// is not linked to an owner would never use its slots.
+	// Peer dials a missing link, for the benefit of later requests: a daemon without a link to
+	// an owner would never use its slots.
 	p := f.Links.Peer(f.Base, m)
 	if !p.Prompt() {
 		return candidate{}, false
@@ -216,38 +217,38 @@
 	return candidate{peer: p, free: free, slots: slots}, slots > 0
 }
 
-// better compares by free slots, and among the full by the wait to expect.
-func (c candidate) better(d candidate) bool {
+// betterThan compares candidates by free slots or, if neither has any, by the expected wait.
+func (c candidate) betterThan(d candidate) bool {
 	if c.free > 0 || d.free > 0 {
 		return c.free > d.free
 	}
 	return c.free*d.slots > d.free*c.slots
 }
 
-// stalls tells whether m is known not to answer: its process is gone, or the link
-// stands but nothing comes back.
-func (f *Forwarder) stalls(m registrar.Member) bool {
+// unresponsive reports whether m is known not to respond: its process has terminated, or the
+// link is up but nothing comes back.
+func (f *Forwarder) unresponsive(m registrar.Member) bool {
 	p := f.Links.Known(m.Incarnation)
 	return p != nil && (p.Gone() || p.Up() && !p.Prompt())
 }
 
-// relay picks a daemon at random that will choose the owner.
-func (f *Forwarder) relay(ctx context.Context, serving []registrar.Member, t *try) (candidate, bool) {
+// chooseRelay picks a random daemon of the site that will choose the owner.
+func (f *Forwarder) chooseRelay(ctx context.Context, serving []registrar.Member, t *attempts) (candidate, bool) {
 	if t.call.Relayed {
 		return candidate{}, false
 	}
-	var open []registrar.Member
+	var responsive []registrar.Member
 	for _, m := range serving {
-		if m.Incarnation != f.Self().Incarnation && !t.tried[m.Incarnation] && !f.stalls(m) {
-			open = append(open, m)
+		if m.Incarnation != f.Self().Incarnation && !t.attempted[m.Incarnation] && !f.unresponsive(m) {
+			responsive = append(responsive, m)
 		}
 	}
-	if len(open) == 0 {
+	if len(responsive) == 0 {
 		return candidate{}, false
 	}
-	m := open[rand.IntN(len(open))]
+	m := responsive[rand.IntN(len(responsive))]
 	p := f.Links.Peer(f.Base, m)
-	ctx, cancel := context.WithTimeout(ctx, linkWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, linkTimeout.Duration())
 	defer cancel()
 	p.Await(ctx)
 	return candidate{peer: p, relay: true}, true
--- a/internal/version/loader/load.go
+++ b/internal/version/loader/load.go
@@ -16,17 +16,17 @@
 )
 
 type (
-	// Table is what one file says.
+	// Table is the content of one file.
 	Table struct {
 		Config *matcher.Config
-		// Upstreams are those of all services. ColdUntil is how long from now an
-		// upstream is cold.
+		// Upstreams are the upstreams of all services. Their ColdUntil is relative to
+		// the time at which the table is loaded into a catalog.
 		Upstreams []cataloger.Upstream
-		// Evacuated are the failure domains that get no new work.
+		// Evacuated are the failure domains that receive no new requests.
 		Evacuated []string
 	}
 
-	// builder collects a table while its file is read.
+	// builder collects the settings of a file and builds a table of them.
 	builder struct {
 		file      string
 		version   matcher.Version
@@ -35,19 +35,20 @@
 		services  map[string]*matcher.Service
 		upstreams map[string]*upstream
 		evacuated []string
-		// organisations are those that may send requests; none means that anybody may.
+		// organisations are those that may send requests; none means that requests need
+		// no credential.
 		organisations map[string]*authenticator.Organisation
 		problems      parser.Problems
 	}
 
-	// upstream is an upstream and where the file begins to tell of it.
+	// upstream is an upstream and the position of its first setting.
 	upstream struct {
 		cataloger.Upstream
-		at parser.Position
+		position parser.Position
 	}
 )
 
-// ReadFile reads a file.
+// ReadFile reads and parses a file.
 func ReadFile(name string) (*Table, parser.Problems) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -56,7 +57,8 @@
 	return Read(name, data)
 }
 
-// Read reads data, which came from file. It reports all that is wrong at once.
+// Read parses data, which was read from file. It returns either a table or all problems
+// found.
 func Read(file string, data []byte) (*Table, parser.Problems) {
 	entries, problems := parser.Parse(file, data)
 	b := builder{
@@ -69,33 +71,33 @@
 		organisations: map[string]*authenticator.Organisation{},
 	}
 	for _, e := range entries {
-		b.take(e)
+		b.addEntry(e)
 	}
-	t := b.table()
+	t := b.buildTable()
 	if len(b.problems) > 0 {
 		return nil, b.problems
 	}
 	return t, nil
 }
 
-// take takes one setting over.
-func (b *builder) take(e parser.Entry) {
-	if problem := b.field(e); problem != "" {
+// addEntry stores one setting or reports its problem.
+func (b *builder) addEntry(e parser.Entry) {
+	if problem := b.setField(e); problem != "" {
 		b.problems = append(b.problems, parser.Problem{Position: e.Position, Path: e.Name(), Text: problem})
 	}
 }
 
-// table joins what was read and checks it as a whole.
-func (b *builder) table() *Table {
+// buildTable combines the settings into a table and validates it as a whole.
+func (b *builder) buildTable() *Table {
 	if b.version == 0 {
-		b.complain(parser.Position{File: b.file}, "Version", "missing: a table needs a number that grows with each change")
+		b.report(parser.Position{File: b.file}, "Version", "missing: a file needs a version number that increases with each change")
 	}
 	var routes []matcher.Route
 	for _, n := range slices.Sorted(maps.Keys(b.routes)) {
 		routes = append(routes, *b.routes[n])
 	}
 	for _, u := range b.upstreams {
-		// A service that has upstreams needs no settings of its own.
+		// A service with upstreams needs no settings of its own.
 		b.service(string(u.Service))
 	}
 	var services []matcher.Service
@@ -103,15 +105,16 @@
 		services = append(services, *b.services[n])
 	}
 	c, err := matcher.New(b.version, b.limits, routes, services)
-	for _, p := range unjoin(err) {
-		b.complain(parser.Position{File: b.file}, "", p.Error())
+	for _, p := range splitJoined(err) {
+		b.report(parser.Position{File: b.file}, "", p.Error())
 	}
-	b.admit(c)
-	return &Table{Config: c, Upstreams: b.checked(), Evacuated: b.evacuated}
+	b.setOrganisations(c)
+	return &Table{Config: c, Upstreams: b.checkedUpstreams(), Evacuated: b.evacuated}
 }
 
-// admit has the configuration ask whose a request is if there are organisations.
-func (b *builder) admit(c *matcher.Config) {
+// setOrganisations makes the configuration require credentials if there are any
+// organisations.
+func (b *builder) setOrganisations(c *matcher.Config) {
 	if len(b.organisations) == 0 {
 		return
 	}
@@ -120,14 +123,14 @@
 		list = append(list, *b.organisations[n])
 	}
 	d, err := authenticator.New(list)
-	for _, p := range unjoin(err) {
-		b.complain(parser.Position{File: b.file}, "", p.Error())
+	for _, p := range splitJoined(err) {
+		b.report(parser.Position{File: b.file}, "", p.Error())
 	}
 	c.Admit(d)
 }
 
-// routed returns the services to which routes go.
-func (b *builder) routed() map[resolver.ServiceName]bool {
+// routedServices returns the services to which routes refer.
+func (b *builder) routedServices() map[resolver.ServiceName]bool {
 	out := map[resolver.ServiceName]bool{}
 	for _, r := range b.routes {
 		for _, p := range r.Parts {
@@ -137,30 +140,30 @@
 	return out
 }
 
-// checked returns the upstreams, by id, and complains about those that are not whole
-// or get no requests.
-func (b *builder) checked() []cataloger.Upstream {
+// checkedUpstreams returns the upstreams sorted by id. It reports those that are
+// incomplete or whose service has no route.
+func (b *builder) checkedUpstreams() []cataloger.Upstream {
 	var out []cataloger.Upstream
-	routed := b.routed()
+	routedServices := b.routedServices()
 	for _, n := range slices.Sorted(maps.Keys(b.upstreams)) {
 		u := b.upstreams[n]
 		switch {
-		case !routed[u.Service]:
-			b.complain(u.at, "Upstream."+n, "no route goes to its service "+cmp.Or(string(u.Service), `""`))
+		case !routedServices[u.Service]:
+			b.report(u.position, "Upstream."+n, "no route refers to its service "+cmp.Or(string(u.Service), `""`))
 		case u.Address == "" || u.Site == "" || u.Slots == 0:
-			b.complain(u.at, "Upstream."+n, "needs Address, Site and Slots")
+			b.report(u.position, "Upstream."+n, "needs Address, Site and Slots")
 		}
 		out = append(out, u.Upstream)
 	}
 	return out
 }
 
-func (b *builder) complain(at parser.Position, path, text string) {
+func (b *builder) report(at parser.Position, path, text string) {
 	b.problems = append(b.problems, parser.Problem{Position: at, Path: path, Text: text})
 }
 
-// unjoin returns the errors that were joined into one.
-func unjoin(err error) []error {
+// splitJoined returns the errors that errors.Join combined into err.
+func splitJoined(err error) []error {
 	if err == nil {
 		return nil
 	}
@@ -171,12 +174,12 @@
 	return []error{err}
 }
 
-// Fill puts the upstreams and evacuations of the table into a catalog, in place of
-// what is there, at a time of the monotonic clock. A domain that was evacuated until
-// now is cold for as long as its services take to warm up.
+// Fill replaces the upstreams and evacuations of a catalog with those of the table, at
+// time now on the monotonic clock. A domain whose evacuation ends is cold for the
+// warm-up time of its services.
 func (t *Table) Fill(c *cataloger.Catalog, now timekeeper.Millis) {
 	c.Batch(func() {
-		c.Replace(t.at(c, now))
+		c.Replace(t.upstreamsAt(c, now))
 		for _, d := range c.Evacuated() {
 			if !slices.Contains(t.Evacuated, d) {
 				c.Readmit(d, func(s resolver.ServiceName) timekeeper.Millis { return now + t.Config.Services[s].Warmup })
@@ -188,9 +191,9 @@
 	})
 }
 
-// at returns the upstreams with times by the clock. One that is known already stays
-// cold as long as it was to be.
-func (t *Table) at(c *cataloger.Catalog, now timekeeper.Millis) []cataloger.Upstream {
+// upstreamsAt returns the upstreams with ColdUntil as a time on the monotonic clock. An
+// upstream that the catalog knows keeps its ColdUntil.
+func (t *Table) upstreamsAt(c *cataloger.Catalog, now timekeeper.Millis) []cataloger.Upstream {
 	var out []cataloger.Upstream
 	for _, u := range t.Upstreams {
 		if known, ok := c.Known(u.ID); ok {
--- a/internal/version/resolver/path.go
+++ b/internal/version/resolver/path.go
@@ -10,11 +10,11 @@
 var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,39}$`)
 
 type (
-	// ServiceName names a service.
+	// ServiceName is the name of a service.
 	ServiceName string
 
-	// Path names a node of the tree. The zero value is the root. Service may
-	// be set at any level and then speaks of that service beneath the level.
+	// Path identifies a node of the tree. The zero value is the root. Service may be
+	// set at any level; the path then refers to that service at and below the level.
 	Path struct {
 		Region  string
 		Domain  string
@@ -22,8 +22,8 @@
 	}
 )
 
-// ParsePath reads "", "/", "region", "region/domain", and each of these with
-// ":service" behind it.
+// ParsePath parses "", "/", "region" and "region/domain", each optionally followed by
+// ":service".
 func ParsePath(s string) (Path, error) {
 	place, service, named := strings.Cut(s, ":")
 	place = strings.Trim(place, "/")
@@ -33,7 +33,7 @@
 	}
 	p.Service = ServiceName(service)
 	if named && service == "" {
-		return p, eris.Errorf("path %q: no service behind the colon", s)
+		return p, eris.Errorf("path %q: no service after the colon", s)
 	}
 	return p, p.check(s)
 }
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// String prints p so that ParsePath reads it; the root is "/".
+// String returns p in the form that ParsePath accepts. The root is "/".
 func (p Path) String() string {
 	s := p.Region
 	if p.Domain != "" {
@@ -62,24 +62,24 @@
 	return s
 }
 
-// place returns p without its service.
-func (p Path) place() Path {
+// withoutService returns p without its service.
+func (p Path) withoutService() Path {
 	p.Service = ""
 	return p
 }
 
-// parents lists the nodes from which p takes values, the nearest first. A node
-// that names the service is nearer than any that does not; among each kind the
-// deeper is nearer.
-func (p Path) parents() []Path {
+// lookupOrder returns the nodes from which p inherits, in order of precedence. Nodes
+// that name the service precede nodes that do not; within each group the deeper node
+// comes first.
+func (p Path) lookupOrder() []Path {
 	var out []Path
 	if p.Service != "" {
-		out = append(out, p.up()...)
+		out = append(out, p.ancestors()...)
 	}
-	return append(out, p.place().up()...)
+	return append(out, p.withoutService().ancestors()...)
 }
 
-func (p Path) up() []Path {
+func (p Path) ancestors() []Path {
 	out := []Path{p}
 	if p.Domain != "" {
 		p.Domain = ""
@@ -92,7 +92,7 @@
 	return out
 }
 
-// Covers tells whether a setting at p can reach q or what lies beneath it.
+// Covers reports whether a setting at p can affect q or a node below it.
 func (p Path) Covers(q Path) bool {
 	return (p.Region == "" || p.Region == q.Region) &&
 		(p.Domain == "" || p.Domain == q.Domain) &&
