--- a/pkg/leaser/doc.go
+++ b/pkg/leaser/doc.go
@@ -1,14 +1,14 @@
-// Package leaser holds leases on objects of the platform's store.
+// Package leaser implements leases stored as objects in the platform's store.
 //
-// A lease is one object. Its holder renews it by conditional update. Nobody
-// compares wall clocks: a candidate takes over only after it has itself seen
+// A lease is a single object that its holder renews by conditional update. Wall
+// clocks are never compared. A candidate takes over only after it has observed
 // the same revision for longer than the term on its own monotonic clock, and a
 // holder counts its term from before it sent the renewal. The holder's term
-// therefore ends first, whatever the clocks and whatever answer was lost.
+// therefore expires first, independent of clock offsets and lost responses.
 //
-// Holding a lease is known only at the moment of the question. A holder that is
-// paused between asking Held and writing may write late. Every object written
-// under a lease must therefore be sealed: the new holder rewrites it with its
-// fence before it acts, which changes the revision that a late conditional
-// write of the old holder still names.
+// The result of Held is valid only at the moment of the call: a holder that is
+// paused between Held and a write may write late. Every object written under a
+// lease must therefore be sealed: before it acts, the new holder rewrites the
+// object with its own fence. This changes the revision, so that a late
+// conditional write by the old holder fails.
 package leaser
--- a/pkg/leaser/lease.go
+++ b/pkg/leaser/lease.go
@@ -15,66 +15,69 @@
 )
 
 const (
-	// DefaultTerm is how long a lease holds after its last renewal was sent.
+	// DefaultTerm is how long a lease is valid after its last renewal was sent.
 	DefaultTerm = 3 * timekeeper.Second
 
-	// renewals is how many times a holder renews within one term.
-	renewals = 3
+	// renewalsPerTerm is the number of renewals within one term.
+	renewalsPerTerm = 3
 
-	// patiencePercent is how long a candidate watches an unchanged lease, in
-	// per cent of the term. Above 100 it covers clocks of unequal rate.
-	patiencePercent = 125
+	// takeoverPercent is how long a lease must stay unchanged before a candidate
+	// takes over, in percent of the term. The excess over 100 allows for clocks
+	// that run at different rates.
+	takeoverPercent = 125
 )
 
 type (
-	// Fence numbers the holdings of one lease. It grows with each holding, so
-	// of two writers the one with the larger fence is the rightful one.
+	// Fence is a fencing token. It increases each time the lease is acquired, so
+	// of two writers the one with the larger fence is the current holder.
 	Fence uint64
 
-	// Record is the lease object as it is stored.
+	// Record is the stored form of a lease.
 	Record struct {
-		// Holder identifies the process, its incarnation included.
+		// Holder identifies the process, including its incarnation.
 		Holder string
-		// Address is where the holder is reached, for those who look it up.
+		// Address is the network address of the holder.
 		Address string
-		// Before is who held it before.
+		// Before is the previous holder.
 		Before string
-		// Fence is the number of the holding.
+		// Fence is the fencing token of this holder.
 		Fence Fence
-		// Renewal distinguishes the writes of one holding, so that a holder
-		// recognises its own after a lost answer.
+		// Renewal numbers the writes under one fence, so that a holder
+		// recognises its own write after a lost response.
 		Renewal uint64
-		// Released is set by a holder that gave the lease back.
+		// Released reports whether the holder has released the lease.
 		Released bool
-		// TermMillis is the term the holder counts on.
+		// TermMillis is the term that the holder relies on.
 		TermMillis timekeeper.Millis
 	}
 
-	// Lease is one candidate's view of one lease. Set the exported fields
-	// before use. Step must be called by one goroutine; Held and Current are
-	// safe from any.
+	// Lease is a candidate's view of a lease. Set the exported fields before
+	// use. Step must be called from a single goroutine; Held and Current are
+	// safe for concurrent use.
 	Lease struct {
 		Store   *storer.Client
 		Name    string
 		Holder  string
 		Address string
-		// Term is the length of a holding; 0 means DefaultTerm.
+		// Term is how long the lease is valid after a renewal; 0 means DefaultTerm.
 		Term  timekeeper.Millis
 		Clock timekeeper.Clock
 
-		lock      sync.Mutex
-		record    Record
-		revision  storer.Revision
-		seenSince timekeeper.Millis
-		sentAt    timekeeper.Millis
-		held      bool
-		reachable bool
-		// broken counts records whose fence was lower than one seen before.
-		broken atomic.Uint64
+		lock           sync.Mutex
+		record         Record
+		revision       storer.Revision
+		unchangedSince timekeeper.Millis
+		sentAt         timekeeper.Millis
+		held           bool
+		reachable      bool
+		// fenceRegressions counts records with a lower fence than one seen before,
+		// or with the same fence and another holder.
+		fenceRegressions atomic.Uint64
 	}
 )
 
-// Held returns the fence while this process holds the lease by its own clock.
+// Held returns the fence and reports whether this process holds the lease
+// according to its own clock.
 func (l *Lease) Held() (Fence, bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -84,73 +87,74 @@
 	return l.record.Fence, true
 }
 
-// Current returns the record as last seen and whether its holder may still
-// hold it. The record of a lapsed lease names who had it last.
+// Current returns the record as last read and reports whether its holder may
+// still hold the lease. The record of an expired lease names the last holder.
 func (l *Lease) Current() (Record, bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.revision == 0 || l.record.Released {
 		return l.record, false
 	}
-	return l.record, l.Clock.Now() < l.seenSince+l.patience()
+	return l.record, l.Clock.Now() < l.unchangedSince+l.takeoverDelay()
 }
 
-// Reachable tells whether the last step reached the platform.
+// Reachable reports whether the last step reached the platform.
 func (l *Lease) Reachable() bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.reachable
 }
 
-// Step renews the lease when held, takes it when it is free, and otherwise
-// looks at it. It returns how long to wait until the next step.
+// Step renews the lease if it is held, acquires it if it is available, and
+// otherwise only reads it. It returns how long to wait until the next step.
 func (l *Lease) Step(ctx context.Context) timekeeper.Millis {
 	if _, ok := l.Held(); ok {
 		l.renew(ctx)
-		return l.term() / renewals
+		return l.term() / renewalsPerTerm
 	}
-	l.drop()
-	if err := l.look(ctx); err != nil {
-		return l.term() / renewals
+	l.clearHeld()
+	if err := l.refresh(ctx); err != nil {
+		return l.term() / renewalsPerTerm
 	}
-	if l.free() {
-		l.take(ctx)
+	if l.available() {
+		l.acquire(ctx)
 	}
-	return l.term() / renewals
+	return l.term() / renewalsPerTerm
 }
 
-// Broken counts how often the fence of the lease went down, which must never be:
-// somebody wrote the object who did not hold it.
+// Broken returns the number of fence regressions. Each one means that a process
+// that did not hold the lease has written the object.
 func (l *Lease) Broken() uint64 {
-	return l.broken.Load()
+	return l.fenceRegressions.Load()
 }
 
-// Revision returns the revision of the lease object as last seen. A holder tells
-// it to those who follow it, so that they need not look.
+// Revision returns the last known revision of the lease object. A holder passes
+// it on to its followers, which then need not read the object.
 func (l *Lease) Revision() storer.Revision {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.revision
 }
 
-// Observe notes that the holder is known to have written the given revision. Those
-// who hear from the holder count their patience from then on, and need not begin
-// when it falls silent.
+// Observe records that the holder has written the given revision. The takeover
+// delay of a follower then counts from the last such message instead of from its
+// own first read after the messages stop.
 func (l *Lease) Observe(r storer.Revision) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if r > l.revision {
 		l.revision = r
-		l.seenSince = l.Clock.Now()
+		l.unchangedSince = l.Clock.Now()
 	}
 }
 
-// Look reads the lease without taking it.
+// Look reads the lease without acquiring it.
 func (l *Lease) Look(ctx context.Context) error {
-	return l.look(ctx)
+	return l.refresh(ctx)
 }
 
-// Release gives a held lease back so that the next candidate need not wait.
+// Release releases the lease if it is held, so that the next candidate need not
+// wait for it to expire.
 func (l *Lease) Release(ctx context.Context) error {
 	if _, ok := l.Held(); !ok {
 		return nil
@@ -175,7 +179,7 @@
 	l.write(ctx, next, at)
 }
 
-func (l *Lease) take(ctx context.Context) {
+func (l *Lease) acquire(ctx context.Context) {
 	l.lock.Lock()
 	next := Record{
 		Holder:     l.Holder,
@@ -190,17 +194,17 @@
 	l.write(ctx, next, at)
 }
 
-// write stores next. The term counts from before the write was sent. A lost
-// answer is settled by reading the object back.
+// write stores next. The term counts from before the write was sent. If the
+// response is lost, the object is read back to determine the result.
 func (l *Lease) write(ctx context.Context, next Record, at storer.Revision) {
 	sent := l.Clock.Now()
 	r, err := l.put(ctx, next, at)
 	if err == nil {
-		l.adopt(next, r, sent)
+		l.recordWrite(next, r, sent)
 		return
 	}
 	if errors.Is(err, storer.ErrConflict) || errors.Is(err, storer.ErrUnknown) {
-		l.settle(ctx, next, sent)
+		l.resolveWrite(ctx, next, sent)
 		return
 	}
 	l.setReachable(false)
@@ -213,8 +217,8 @@
 	return l.Store.Update(ctx, l.Name, encode(next), at)
 }
 
-func (l *Lease) settle(ctx context.Context, wanted Record, sent timekeeper.Millis) {
-	if err := l.look(ctx); err != nil {
+func (l *Lease) resolveWrite(ctx context.Context, wanted Record, sent timekeeper.Millis) {
+	if err := l.refresh(ctx); err != nil {
 		return
 	}
 	l.lock.Lock()
@@ -227,18 +231,18 @@
 	l.held = l.held && l.record.Holder == l.Holder && !l.record.Released
 }
 
-func (l *Lease) adopt(r Record, at storer.Revision, sent timekeeper.Millis) {
+func (l *Lease) recordWrite(r Record, at storer.Revision, sent timekeeper.Millis) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.record = r
 	l.revision = at
-	l.seenSince = l.Clock.Now()
+	l.unchangedSince = l.Clock.Now()
 	l.sentAt = sent
 	l.held = true
 	l.reachable = true
 }
 
-func (l *Lease) look(ctx context.Context) error {
+func (l *Lease) refresh(ctx context.Context) error {
 	o, err := l.Store.Get(ctx, l.Name)
 	if errors.Is(err, storer.ErrNotFound) {
 		l.setReachable(true)
@@ -250,33 +254,33 @@
 	}
 	var r Record
 	if err := json.Unmarshal(o.Body, &r); err != nil {
-		return eris.Wrapf(err, "lease object %s", l.Name)
+		return eris.Wrapf(err, "decode lease object %s", l.Name)
 	}
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.reachable = true
 	if r.Fence < l.record.Fence || r.Fence == l.record.Fence && r.Holder != l.record.Holder {
-		l.broken.Add(1)
+		l.fenceRegressions.Add(1)
 	}
-	// The revision may be known from Observe, which says nothing of what is in it.
+	// The revision may be known from Observe, which does not provide the record.
 	l.record = r
 	if o.Revision != l.revision {
 		l.revision = o.Revision
-		l.seenSince = l.Clock.Now()
+		l.unchangedSince = l.Clock.Now()
 	}
 	return nil
 }
 
-func (l *Lease) free() bool {
+func (l *Lease) available() bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.revision == 0 || l.record.Released {
 		return true
 	}
-	return l.Clock.Now() >= l.seenSince+l.patience()
+	return l.Clock.Now() >= l.unchangedSince+l.takeoverDelay()
 }
 
-func (l *Lease) drop() {
+func (l *Lease) clearHeld() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.held = false
@@ -295,12 +299,12 @@
 	return DefaultTerm
 }
 
-func (l *Lease) patience() timekeeper.Millis {
+func (l *Lease) takeoverDelay() timekeeper.Millis {
 	term := l.term()
 	if l.record.TermMillis > term {
 		term = l.record.TermMillis
 	}
-	return term * patiencePercent / 100
+	return term * takeoverPercent / 100
 }
 
 func encode(r Record) []byte {
@@ -312,7 +316,8 @@
 	return b
 }
 
-// Run steps the lease until ctx ends and reports each change of holding.
+// Run calls Step until ctx is done, and calls changed whenever the lease is
+// acquired or lost.
 func (l *Lease) Run(ctx context.Context, changed func(Fence, bool)) {
 	var was bool
 	for {
--- a/pkg/leaser/lease_test.go
+++ b/pkg/leaser/lease_test.go
@@ -15,17 +15,17 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// bench is a platform and a clock that the test moves.
-type bench struct {
+// fixture is a platform server with a manually advanced clock.
+type fixture struct {
 	platform *platform.Server
 	address  string
 	now      timekeeper.Millis
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	address, p := newServer(t)
-	return &bench{platform: p, address: address, now: 1}
+	return &fixture{platform: p, address: address, now: 1}
 }
 
 func newServer(t *testing.T) (string, *platform.Server) {
@@ -36,7 +36,7 @@
 	return s.URL, p
 }
 
-func (b *bench) lease(holder string) *leaser.Lease {
+func (b *fixture) lease(holder string) *leaser.Lease {
 	return &leaser.Lease{
 		Store:  &storer.Client{Address: b.address},
 		Name:   "Lease/Test",
@@ -53,7 +53,7 @@
 func TestOneHolderAtATime(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	b := newBench(t)
+	b := newFixture(t)
 	x, y := b.lease("x"), b.lease("y")
 	x.Step(ctx)
 	y.Step(ctx)
@@ -61,8 +61,7 @@
 	is.True(!held(y))
 	f1, _ := x.Held()
 
-	// x is paused. y sees the same revision until its patience ends, which is
-	// after the term of x.
+	// x is paused. The takeover delay of y ends after the term of x.
 	b.now += leaser.DefaultTerm - 1
 	y.Step(ctx)
 	is.True(held(x) && !held(y))
@@ -75,7 +74,7 @@
 	is.True(ok && !held(x))
 	is.True(f2 > f1)
 
-	// x wakes up and cannot renew.
+	// x resumes and cannot renew.
 	x.Step(ctx)
 	is.True(!held(x) && held(y))
 }
@@ -83,7 +82,7 @@
 func TestRenewalKeepsOthersOut(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	b := newBench(t)
+	b := newFixture(t)
 	x, y := b.lease("x"), b.lease("y")
 	for range 20 {
 		x.Step(ctx)
@@ -96,16 +95,16 @@
 func TestLostAnswers(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	b := newBench(t)
+	b := newFixture(t)
 	x := b.lease("x")
 	b.platform.SetFaults(platform.Faults{LoseAnswers: 1})
 	x.Step(ctx)
-	is.True(held(x)) // taken although the answer was lost
+	is.True(held(x)) // acquired although the response was lost
 	b.platform.SetFaults(platform.Faults{LoseAnswers: 1})
 	b.now += leaser.DefaultTerm / 2
 	x.Step(ctx)
 	b.now += leaser.DefaultTerm - 1
-	is.True(held(x)) // the renewal counts from when it was sent
+	is.True(held(x)) // the term counts from when the renewal was sent
 	b.now++
 	is.True(!held(x))
 }
@@ -113,7 +112,7 @@
 func TestOutageEndsTheTerm(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	b := newBench(t)
+	b := newFixture(t)
 	x := b.lease("x")
 	x.Step(ctx)
 	b.platform.SetFaults(platform.Faults{Down: true})
@@ -130,9 +129,9 @@
 	is.True(held(x))
 }
 
-// TestNeverTwoHolders has four candidates on clocks of unequal rate, with random
-// pauses, outages and lost answers, and asks all of them after every step. At most
-// one holds the lease at any moment, and fences only grow.
+// TestNeverTwoHolders runs four candidates whose clocks have different rates, with
+// random pauses, outages and lost responses. After every step at most one of them
+// may hold the lease, and fences must not decrease.
 func TestNeverTwoHolders(t *testing.T) {
 	address, p := newServer(t)
 	n := 0
@@ -142,7 +141,7 @@
 		var elapsed float64
 		var all []*leaser.Lease
 		for i := range 4 {
-			// One part in fifty is far more than clocks of VMs differ by.
+			// 2 % is far more than the clock rates of VMs differ by.
 			rate := rapid.Float64Range(0.98, 1.02).Draw(t, "rate")
 			all = append(all, &leaser.Lease{
 				Store:  &storer.Client{Address: address},
@@ -158,7 +157,7 @@
 				Down:        rapid.IntRange(0, 9).Draw(t, "down") == 0,
 				LoseAnswers: rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "lost"),
 			})
-			// Whoever does not step is paused, or slow.
+			// Candidates that do not step are paused or slow.
 			all[rapid.IntRange(0, len(all)-1).Draw(t, "candidate")].Step(ctx)
 			holders := 0
 			for _, l := range all {
@@ -168,12 +167,12 @@
 				}
 				holders++
 				if fence < highest {
-					t.Fatalf("%s holds with fence %d behind %d", l.Holder, fence, highest)
+					t.Fatalf("%s holds the lease with fence %d, below %d", l.Holder, fence, highest)
 				}
 				highest = fence
 			}
 			if holders > 1 {
-				t.Fatalf("%d holders", holders)
+				t.Fatalf("%d candidates hold the lease", holders)
 			}
 		}
 	})
@@ -182,7 +181,7 @@
 func TestReleaseFreesAtOnce(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	b := newBench(t)
+	b := newFixture(t)
 	x, y := b.lease("x"), b.lease("y")
 	x.Step(ctx)
 	y.Step(ctx)
@@ -192,19 +191,19 @@
 	is.True(held(y))
 }
 
-// TestObservedLeaseKeepsItsFence has a follower hear of the holder's writes, and
-// never look at the lease itself until the holder lapses. What it then takes has a
-// fence of its own.
+// TestObservedLeaseKeepsItsFence guards against a reused fence: a follower that knows
+// the holder's writes only from Observe, and reads the lease after it has expired,
+// must acquire it with a new fence.
 func TestObservedLeaseKeepsItsFence(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	b := newBench(t)
+	b := newFixture(t)
 	x, y := b.lease("x"), b.lease("y")
 	x.Step(ctx)
 	first, _ := x.Held()
 	is.NoErr(y.Look(ctx))
 	b.now += leaser.DefaultTerm * 2
-	// z takes the lapsed lease and renews; y hears of the last write only.
+	// z acquires the expired lease; y learns only the revision.
 	z := b.lease("z")
 	is.NoErr(z.Look(ctx))
 	b.now += leaser.DefaultTerm * 2
