--- a/pkg/registrar/distance.go
+++ b/pkg/registrar/distance.go
@@ -1,19 +1,19 @@
 package registrar
 
-// The distances between two sites.
+// Distances between two sites.
 const (
 	SameDomain  Distance = "same domain"
 	SameRegion  Distance = "same region"
 	OtherRegion Distance = "other region"
-	// UnknownDistance is that to a place whose site is not known.
+	// UnknownDistance applies if either site is unknown.
 	UnknownDistance Distance = "unknown"
 )
 
-// Distance says what bytes between two sites cross: nothing, the bounds of a failure
-// domain, or those of a region.
+// Distance tells which boundary traffic between two sites crosses: none, that of a
+// failure domain or that of a region.
 type Distance string
 
-// Distance returns how far s is from o.
+// Distance returns the distance between s and o.
 func (s Site) Distance(o Site) Distance {
 	switch {
 	case s == "" || o == "":
--- a/pkg/registrar/doc.go
+++ b/pkg/registrar/doc.go
@@ -1,4 +1,4 @@
 // Package registrar describes the members of a fleet and the roster objects
-// that list them, one roster a region, written by the region's lead when the
-// membership changes and at no other time.
+// that list them. There is one roster per region, which the leader of the region
+// writes only when the membership changes.
 package registrar
--- a/pkg/registrar/home.go
+++ b/pkg/registrar/home.go
@@ -7,14 +7,13 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// clockSkew is by how much the wall clocks of leads may differ, with the time that
-// a roster takes to reach all daemons. A membership is taken to have begun that
-// much earlier and to have ended that much later, or the other way round,
-// whichever names more homes.
+// clockSkew bounds the difference between the wall clocks of leaders plus the time
+// that a roster takes to reach all daemons. Membership periods are extended or
+// shortened by it at both ends, whichever yields more homes.
 const clockSkew = 30 * timekeeper.Second
 
 type (
-	// period is the time during which an incarnation was a member.
+	// period is the time span in which an incarnation was a member.
 	period struct {
 		incarnation Incarnation
 		hash        hasher.Hash
@@ -24,15 +23,15 @@
 	span struct{ from, to timekeeper.Millis }
 )
 
-// Home returns the member that a key belongs to now, by rendezvous over all
-// members.
+// Home returns the current home of a key, chosen by rendezvous hashing over all
+// members. It returns false if there are no members.
 func (v *View) Home(key string) (Member, bool) {
 	return OwnerAmong(v.members, key)
 }
 
-// Homes returns the incarnations to which a key may have belonged between two
-// wall times, whoever asked and whichever roster they knew. They need not be
-// members any more.
+// Homes returns the incarnations that any daemon may have chosen as the home of a
+// key between two wall times, whichever roster it knew. They may no longer be
+// members.
 func (v *View) Homes(key string, from, to timekeeper.Millis) []Incarnation {
 	h := hasher.OfString(key)
 	all := v.periods(span{from, to})
@@ -42,12 +41,13 @@
 		}
 		return 1
 	})
-	// In order of preference: each is the home while it was a member and none
-	// before it was. What is left of the span shrinks accordingly.
+	// In order of preference, each incarnation is the home for the part of its
+	// period in which none of the preceding ones was a member. left holds the
+	// spans that are not covered yet.
 	var out []Incarnation
 	left := []span{{from, to}}
 	for _, p := range all {
-		if touches(left, span{p.from - clockSkew, p.to + clockSkew}) {
+		if overlapsAny(left, span{p.from - clockSkew, p.to + clockSkew}) {
 			out = append(out, p.incarnation)
 		}
 		left = subtract(left, span{p.from + clockSkew, p.to - clockSkew})
@@ -55,19 +55,20 @@
 	return out
 }
 
-// periods returns who was a member at any time in s. A member of now stays one.
+// periods returns the periods of current and former members. The periods of
+// current members extend beyond the end of s.
 func (v *View) periods(s span) []period {
 	var all []period
 	for _, m := range v.members {
 		all = append(all, period{m.Incarnation, hasher.OfString(string(m.Incarnation)), span{m.SinceMillis, s.to + 2*clockSkew}})
 	}
-	for _, p := range v.past {
+	for _, p := range v.former {
 		all = append(all, period{p.Incarnation, hasher.OfString(string(p.Incarnation)), span{p.SinceMillis, p.GoneMillis}})
 	}
 	return all
 }
 
-// subtract takes a span from a list of spans.
+// subtract removes s from each span of list.
 func subtract(list []span, s span) []span {
 	if s.from >= s.to {
 		return list
@@ -88,6 +89,6 @@
 	return out
 }
 
-func touches(list []span, s span) bool {
+func overlapsAny(list []span, s span) bool {
 	return slices.ContainsFunc(list, func(x span) bool { return s.from <= x.to && s.to >= x.from })
 }
--- a/pkg/registrar/roster.go
+++ b/pkg/registrar/roster.go
@@ -12,26 +12,26 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// Prefix is what the names of roster objects start with.
+// Prefix is the name prefix of roster objects.
 const Prefix = "Roster/"
 
 const (
-	// IncarnationDigits is the length of an incarnation, in hexadecimal digits.
+	// IncarnationDigits is the length of an incarnation in hexadecimal digits.
 	IncarnationDigits = 16
 
-	// History is how long rosters remember members that went.
+	// History is how long rosters list former members.
 	History = 15 * timekeeper.Minute
 )
 
 type (
-	// Incarnation names one life of one process. A VM that is replaced at the
-	// same address is another incarnation.
+	// Incarnation identifies one run of a process. A VM that is replaced at the
+	// same address has another incarnation.
 	Incarnation string
 
-	// Site is a place of upstreams and daemons: "region/domain".
+	// Site is the location of upstreams and daemons, in the form "region/domain".
 	Site string
 
-	// Member is one live daemon.
+	// Member is a live daemon.
 	Member struct {
 		Incarnation Incarnation
 		Name        string
@@ -40,13 +40,13 @@
 		Callers   string
 		Links     string
 		Operators string
-		// Leaving is set once the daemon began to stop.
+		// Leaving reports whether the daemon is shutting down.
 		Leaving bool
-		// SinceMillis is the wall time at which the lead took it in.
+		// SinceMillis is the wall time at which the leader added the member.
 		SinceMillis timekeeper.Millis
 	}
 
-	// Past is a member that is one no more.
+	// Past is a former member and its membership period in wall time.
 	Past struct {
 		Incarnation Incarnation
 		SinceMillis timekeeper.Millis
@@ -59,46 +59,47 @@
 		Fence   leaser.Fence
 		Version uint64
 		Members []Member
-		// Past is the members that went within History.
+		// Past lists the members that were removed within History.
 		Past []Past `json:",omitempty"`
 	}
 
-	// View is the rosters of all regions together. Build it with NewView; it
-	// is never changed afterwards.
+	// View combines the rosters of all regions. It is created by NewView and
+	// immutable afterwards.
 	View struct {
 		members  []Member
 		bySite   map[Site][]Member
 		byRegion map[string][]Member
 		byID     map[Incarnation]Member
-		past     []Past
+		former   []Past
 	}
 )
 
-// Region returns the part of s in front of the slash.
+// Region returns the part of s before the slash.
 func (s Site) Region() string {
 	r, _, _ := strings.Cut(string(s), "/")
 	return r
 }
 
-// Domain returns the part of s behind the slash.
+// Domain returns the part of s after the slash.
 func (s Site) Domain() string {
 	_, d, _ := strings.Cut(string(s), "/")
 	return d
 }
 
-// ObjectName is the name of the roster object of region.
+// ObjectName returns the name of the roster object of region.
 func ObjectName(region string) string {
 	return Prefix + region
 }
 
-// Decode reads a roster object.
+// Decode decodes the body of a roster object.
 func Decode(body []byte) (Roster, error) {
 	var r Roster
 	err := packer.Unpack(body, &r)
 	return r, eris.Wrap(err, "roster")
 }
 
-// Encode writes a roster object, members in order of incarnation.
+// Encode returns the body of the roster object, with members ordered by
+// incarnation.
 func (r Roster) Encode() ([]byte, error) {
 	r.Members = slices.Clone(r.Members)
 	sortMembers(r.Members)
@@ -115,12 +116,12 @@
 	return Member{}, false
 }
 
-// NewView joins rosters.
+// NewView returns a view of the given rosters.
 func NewView(rosters []Roster) *View {
 	v := &View{bySite: map[Site][]Member{}, byRegion: map[string][]Member{}, byID: map[Incarnation]Member{}}
 	for _, r := range rosters {
 		v.members = append(v.members, r.Members...)
-		v.past = append(v.past, r.Past...)
+		v.former = append(v.former, r.Past...)
 	}
 	sortMembers(v.members)
 	for _, m := range v.members {
@@ -131,27 +132,27 @@
 	return v
 }
 
-// Without returns the view without some members. Those that are away for sure own
-// nothing and are named to nobody.
-func (v *View) Without(away map[Incarnation]bool) *View {
-	if len(away) == 0 {
+// Without returns a view without the given members. It is used to exclude members
+// that are known to be gone from ownership and lookups.
+func (v *View) Without(gone map[Incarnation]bool) *View {
+	if len(gone) == 0 {
 		return v
 	}
-	r := Roster{Past: v.past}
+	r := Roster{Past: v.former}
 	for _, m := range v.members {
-		if !away[m.Incarnation] {
+		if !gone[m.Incarnation] {
 			r.Members = append(r.Members, m)
 		}
 	}
 	return NewView([]Roster{r})
 }
 
-// Members returns all members in order of incarnation.
+// Members returns all members, ordered by incarnation.
 func (v *View) Members() []Member {
 	return v.members
 }
 
-// Region returns the members of a region in order of incarnation.
+// Region returns the members of a region, ordered by incarnation.
 func (v *View) Region(name string) []Member {
 	return v.byRegion[name]
 }
@@ -162,25 +163,27 @@
 	return m, ok
 }
 
-// Serving returns the members that serve the upstreams of site: those of the
-// site that stay, else those of its region that stay, else those of the site
-// that are leaving. Every daemon with the same rosters gets the same answer.
+// Serving returns the members that serve the upstreams of site: the members at
+// the site that are not leaving, or else those in its region that are not leaving,
+// or else the leaving ones at the site. The result depends only on the rosters.
 func (v *View) Serving(site Site) []Member {
-	if stay := staying(v.bySite[site]); len(stay) > 0 {
-		return stay
+	if remaining := notLeaving(v.bySite[site]); len(remaining) > 0 {
+		return remaining
 	}
-	if stay := staying(v.Region(site.Region())); len(stay) > 0 {
-		return stay
+	if remaining := notLeaving(v.Region(site.Region())); len(remaining) > 0 {
+		return remaining
 	}
 	return v.bySite[site]
 }
 
-// Owner returns the member that owns upstream at site.
+// Owner returns the member that owns upstream at site, and false if no member
+// serves the site.
 func (v *View) Owner(site Site, upstream string) (Member, bool) {
 	return OwnerAmong(v.Serving(site), upstream)
 }
 
-// OwnerAmong returns the rendezvous choice for upstream among members.
+// OwnerAmong returns the member chosen for upstream by rendezvous hashing, and
+// false if members is empty.
 func OwnerAmong(members []Member, upstream string) (Member, bool) {
 	hashes := make([]hasher.Hash, len(members))
 	for i, m := range members {
@@ -193,7 +196,7 @@
 	return members[i], true
 }
 
-func staying(members []Member) []Member {
+func notLeaving(members []Member) []Member {
 	var out []Member
 	for _, m := range members {
 		if !m.Leaving {
--- a/pkg/registrar/roster_test.go
+++ b/pkg/registrar/roster_test.go
@@ -20,8 +20,8 @@
 	// Output: i1
 }
 
-// TestOnlyTheLostMove takes one of five members away. Only its upstreams get
-// another owner.
+// TestOnlyTheLostMove removes one of five members. Only the upstreams that it owned
+// may change their owner.
 func TestOnlyTheLostMove(t *testing.T) {
 	is := is.New(t)
 	r := registrar.Roster{Region: "erie"}
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestServingFallsBack goes from a site to its region, and to leaving members
-// only when nobody stays.
+// TestServingFallsBack checks that Serving falls back from the site to its region,
+// and to leaving members only if no others remain.
 func TestServingFallsBack(t *testing.T) {
 	is := is.New(t)
 	m := []registrar.Member{
