--- a/pkg/storer/client.go
+++ b/pkg/storer/client.go
@@ -20,52 +20,53 @@
 )
 
 const (
-	// MaxObjectBytes is the largest body the platform holds.
+	// MaxObjectBytes is the maximum size of an object body.
 	MaxObjectBytes = 1 << 20
 
-	// DefaultTimeout bounds one call other than a watch.
+	// DefaultTimeout bounds the time until the response to a call other than a
+	// watch begins.
 	DefaultTimeout = 2 * timekeeper.Second
 
-	// watchSlack is what a watch may take beyond the wait it asked for.
-	watchSlack = 2 * timekeeper.Second
+	// watchMargin is added to the requested wait of a watch to get its timeout.
+	watchMargin = 2 * timekeeper.Second
 
-	// maxAnswerBytes bounds what a list or watch may return, so that a
-	// platform gone wrong cannot exhaust the memory of a daemon.
-	maxAnswerBytes = 64 << 20
+	// maxResponseBytes limits the size of a response, so that a faulty platform
+	// cannot exhaust the memory of a daemon.
+	maxResponseBytes = 64 << 20
 )
 
-// The outcomes of a call, to be tested with errors.Is.
+// Errors returned by calls, to be tested with errors.Is.
 var (
 	ErrNotFound    = eris.New("object not found")
-	ErrConflict    = eris.New("object has another revision")
-	ErrUnknown     = eris.New("answer lost: the write may have taken effect")
+	ErrConflict    = eris.New("object has a different revision")
+	ErrUnknown     = eris.New("response lost: the write may have taken effect")
 	ErrUnreachable = eris.New("platform unreachable")
 	ErrRefused     = eris.New("platform refused the call")
 	// ErrCompacted means that the changes since the revision of a watch are
-	// not kept any more: list again.
-	ErrCompacted = eris.New("history of the platform is gone")
+	// no longer available, and the caller must list again.
+	ErrCompacted = eris.New("change history no longer available")
 )
 
 type (
-	// Revision numbers the writes of the whole platform. It only grows.
+	// Revision numbers all writes of the platform in increasing order.
 	Revision uint64
 
-	// Object is one named value.
+	// Object is a named value.
 	Object struct {
 		Name     string
 		Revision Revision
 		Body     []byte
 	}
 
-	// Batch is the answer to a list or a watch: objects in order of revision
-	// (watch) or of name (list), and the revision up to which it is complete.
+	// Batch is the result of a list or a watch: objects ordered by name (list) or
+	// by revision (watch), and the revision up to which they are complete.
 	Batch struct {
 		Revision Revision
 		Objects  []Object
 	}
 
-	// Calls counts what a client asked of the platform.
-	Calls struct {
+	// CallCounters counts the calls of a client and the bytes transferred.
+	CallCounters struct {
 		Reads   atomic.Uint64
 		Writes  atomic.Uint64
 		Watches atomic.Uint64
@@ -73,33 +74,32 @@
 	}
 
 	// Client calls the object API. Address and Token must be set before use;
-	// the other fields have useful zero values. It is safe for concurrent use.
+	// the zero values of the other fields are valid. It is safe for concurrent use.
 	Client struct {
 		// Address is the base URL, such as "http://10.0.0.5:7000".
 		Address string
 		Token   string
-		// Timeout bounds the time until an answer begins; 0 means DefaultTimeout.
+		// Timeout bounds the time until a response begins; 0 means DefaultTimeout.
 		Timeout timekeeper.Millis
-		// Silence bounds how long nothing may come of an answer that has begun, and
-		// LongestTransfer how much longer than its timeout a call may take in all; 0
-		// means the usual ones.
-		Silence, LongestTransfer timekeeper.Millis
+		// IdleTimeout bounds the pauses within a response, and LongestTransfer how much
+		// longer than its timeout a call may take in total; 0 means the default.
+		IdleTimeout, LongestTransfer timekeeper.Millis
 		// Do sends a request; nil means httpc.DoRequest.
 		Do func(*http.Request) (*http.Response, error)
-		// TimedOut is told of each call that was given up: other connections to the
-		// platform may be as dead as the one that it used. Nil means nobody wants to know.
+		// TimedOut is called for each call that timed out: other connections to the
+		// platform may be dead as well. It may be nil.
 		TimedOut func()
 
-		calls Calls
+		calls CallCounters
 	}
 )
 
-// Calls returns the counters of c.
-func (c *Client) Calls() *Calls {
+// Calls returns the call counters of c.
+func (c *Client) Calls() *CallCounters {
 	return &c.calls
 }
 
-// Get reads one object.
+// Get reads an object.
 func (c *Client) Get(ctx context.Context, name string) (Object, error) {
 	c.calls.Reads.Add(1)
 	q, err := c.Request(ctx, http.MethodGet, objectPath(name), nil)
@@ -113,24 +113,24 @@
 	return Object{Name: name, Revision: revisionOf(p), Body: body}, nil
 }
 
-// Create writes an object that must not exist yet.
+// Create writes an object. It returns ErrConflict if the object exists.
 func (c *Client) Create(ctx context.Context, name string, body []byte) (Revision, error) {
 	return c.write(ctx, http.MethodPut, name, body, "If-None-Match", "*")
 }
 
-// Update writes an object that must still have the revision at.
+// Update writes an object. It returns ErrConflict if its revision is not at.
 func (c *Client) Update(ctx context.Context, name string, body []byte, at Revision) (Revision, error) {
-	return c.write(ctx, http.MethodPut, name, body, "If-Match", tagOf(at))
+	return c.write(ctx, http.MethodPut, name, body, "If-Match", etagOf(at))
 }
 
-// Delete removes an object that must still have the revision at.
+// Delete deletes an object. It returns ErrConflict if its revision is not at.
 func (c *Client) Delete(ctx context.Context, name string, at Revision) error {
-	_, err := c.write(ctx, http.MethodDelete, name, nil, "If-Match", tagOf(at))
+	_, err := c.write(ctx, http.MethodDelete, name, nil, "If-Match", etagOf(at))
 	return err
 }
 
 // List returns up to limit objects whose names start with prefix and sort
-// behind after. The revision of the batch is that of the whole list.
+// after the name after. The revision of the batch is that of the whole list.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) (Batch, error) {
 	c.calls.Reads.Add(1)
 	v := url.Values{"Prefix": {prefix}, "After": {after}, "Limit": {strconv.Itoa(limit)}}
@@ -138,7 +138,8 @@
 }
 
 // Watch waits until an object under one of the prefixes has a revision above
-// since, and returns all such; after wait it returns an empty batch.
+// since, and returns all such objects. It returns an empty batch if there is none
+// within wait.
 func (c *Client) Watch(ctx context.Context, prefixes []string, since Revision, wait timekeeper.Millis) (Batch, error) {
 	c.calls.Watches.Add(1)
 	v := url.Values{
@@ -146,7 +147,7 @@
 		"Since":      {strconv.FormatUint(uint64(since), 10)},
 		"WaitMillis": {strconv.FormatInt(int64(wait), 10)},
 	}
-	return c.batch(ctx, "/Watch?"+v.Encode(), wait+watchSlack)
+	return c.batch(ctx, "/Watch?"+v.Encode(), wait+watchMargin)
 }
 
 func (c *Client) batch(ctx context.Context, path string, timeout timekeeper.Millis) (Batch, error) {
@@ -160,14 +161,14 @@
 	}
 	var b Batch
 	if err := json.Unmarshal(body, &b); err != nil {
-		return Batch{}, eris.Wrapf(ErrUnreachable, "bad answer to %s: %v", path, err)
+		return Batch{}, eris.Wrapf(ErrUnreachable, "invalid response to %s: %v", path, err)
 	}
 	return b, nil
 }
 
 func (c *Client) write(ctx context.Context, method, name string, body []byte, condition, tag string) (Revision, error) {
 	if len(body) > MaxObjectBytes {
-		return 0, eris.Wrapf(ErrRefused, "object %s has %d bytes, the most is %d", name, len(body), MaxObjectBytes)
+		return 0, eris.Wrapf(ErrRefused, "object %s has %d bytes, the limit is %d", name, len(body), MaxObjectBytes)
 	}
 	c.calls.Writes.Add(1)
 	q, err := c.Request(ctx, method, objectPath(name), body)
@@ -182,11 +183,12 @@
 	return revisionOf(p), nil
 }
 
-// Request builds a call of the platform, for APIs that spell theirs otherwise.
+// Request returns a request to be passed to Call. It is exported for platforms
+// whose API uses other paths.
 func (c *Client) Request(ctx context.Context, method, path string, body []byte) (*http.Request, error) {
 	q, err := http.NewRequestWithContext(ctx, method, c.Address+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, eris.Wrapf(ErrRefused, "platform address %q: %v", c.Address, err)
+		return nil, eris.Wrapf(ErrRefused, "invalid platform address %q: %v", c.Address, err)
 	}
 	if c.Token != "" {
 		q.Header.Set("Authorization", "Bearer "+c.Token)
@@ -195,42 +197,43 @@
 		q.Body = http.NoBody
 		q.ContentLength = 0
 	}
-	// Without GetBody the transport never repeats a write on its own: a
-	// repeated create would see its own first try as a conflict.
+	// Without GetBody the transport never retries a write on its own. A retried
+	// create would get a conflict with its own first attempt.
 	q.GetBody = nil
 	return q, nil
 }
 
-// Call makes a call that Request built and returns its answer with the body read.
-// The answer must begin within the timeout, counted anew after the last byte of a long body,
-// and go on without long silence after that: how long the whole takes depends on its length
-// and the path. An answer that is no success is an error, beside which the body is returned.
+// Call sends a request made by Request and returns the response and its body.
+// The response must begin within the timeout, which restarts after the last byte of a long
+// request body, and must then continue without long pauses. The total time is not bounded
+// by the timeout, since it depends on the length and the bandwidth. For a status that is
+// not a success, Call returns both the body and an error.
 func (c *Client) Call(q *http.Request, timeout timekeeper.Millis) (*http.Response, []byte, error) {
-	ctx, patience := c.patience(q.Context(), timeout)
-	defer patience.stop()
+	ctx, progress := c.withProgressTimer(q.Context(), timeout)
+	defer progress.stop()
 	var wrote atomic.Bool
 	q = q.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { wrote.Store(true) }}))
-	rest := cmp.Or(c.Silence, silence).Duration()
-	if q.ContentLength > shortBody {
-		// What is read of a body may yet wait in the buffers of the connection.
-		q.Body = watched{q.Body, patience, timeout.Duration() + rest}
+	idle := cmp.Or(c.IdleTimeout, defaultIdleTimeout).Duration()
+	if q.ContentLength > maxUnmonitoredBytes {
+		// Bytes that were read from the body may still be in the connection's buffers.
+		q.Body = monitoredBody{q.Body, progress, timeout.Duration() + idle}
 	}
 	do := c.Do
 	if do == nil {
 		do = httpc.DoRequest
 	}
 	p, err := do(q)
-	if err != nil && !wrote.Load() && isDial(err) {
+	if err != nil && !wrote.Load() && isDialError(err) {
 		return nil, nil, eris.Wrapf(&DialError{Cause: err}, "%s %s", q.Method, q.URL.Path)
 	}
 	if err != nil {
-		return nil, nil, c.failure(q, err, 0)
+		return nil, nil, c.requestError(q, err, 0)
 	}
 	defer p.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(watched{p.Body, patience, rest}, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(monitoredBody{p.Body, progress, idle}, maxResponseBytes))
 	c.calls.Bytes.Add(uint64(len(body)) + uint64(max(q.ContentLength, 0)))
 	if err != nil {
-		return nil, nil, c.failure(q, err, len(body))
+		return nil, nil, c.requestError(q, err, len(body))
 	}
 	return p, body, statusError(q, p.StatusCode, body)
 }
@@ -267,7 +270,7 @@
 	return "/Objects/" + url.PathEscape(name)
 }
 
-func tagOf(r Revision) string {
+func etagOf(r Revision) string {
 	return strconv.Quote(strconv.FormatUint(uint64(r), 10))
 }
 
--- a/pkg/storer/client_test.go
+++ b/pkg/storer/client_test.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// piece and pause are how a slow path passes a body on: 20 pieces take far longer
-	// than timeout, with pauses far shorter than any silence that ends a call.
-	piece   = 1 << 10
-	pieces  = 20
+	// A slow path is simulated by chunks with pauses between them: 20 chunks take far
+	// longer than timeout, with pauses far shorter than any idle timeout.
+	chunk   = 1 << 10
+	chunks  = 20
 	pause   = 20 * time.Millisecond
 	timeout = 100 * timekeeper.Millis(1)
 )
@@ -37,34 +37,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, answer, err := c.Call(q, timeout)
-	return answer, err
+	_, response, err := c.Call(q, timeout)
+	return response, err
 }
 
-// TestSlowAnswerIsReadWhole has an answer take four times the time that it has to begin.
+// TestSlowAnswerIsReadWhole guards against a timeout during a response that takes four
+// times as long as it has to begin.
 func TestSlowAnswerIsReadWhole(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		for range pieces {
-			_, _ = w.Write(make([]byte, piece))
+		for range chunks {
+			_, _ = w.Write(make([]byte, chunk))
 			_ = http.NewResponseController(w).Flush()
 			time.Sleep(pause)
 		}
 	}))
 	defer s.Close()
 
-	answer, err := call(t, http.MethodGet, s.URL, nil)
+	response, err := call(t, http.MethodGet, s.URL, nil)
 	is.NoErr(err)
-	is.Equal(len(answer), pieces*piece)
+	is.Equal(len(response), chunks*chunk)
 }
 
-// TestSlowBodyIsSentWhole has a body that takes longer to send than its answer has to begin.
+// TestSlowBodyIsSentWhole guards against a timeout during a request body that takes longer
+// to send than the response has to begin.
 func TestSlowBodyIsSentWhole(t *testing.T) {
 	is := is.New(t)
 	const length = 8 << 20
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		received := 0
-		for b := make([]byte, length/pieces); ; time.Sleep(pause) {
+		for b := make([]byte, length/chunks); ; time.Sleep(pause) {
 			n, err := io.ReadFull(r.Body, b)
 			received += n
 			if err != nil {
@@ -76,7 +78,7 @@
 		}
 	}))
 	s.Config.ConnState = func(c net.Conn, _ http.ConnState) {
-		// What the kernel buffers would hide the slow path.
+		// Large kernel buffers would hide the slow path.
 		if c, ok := c.(*net.TCPConn); ok {
 			_ = c.SetReadBuffer(64 << 10)
 		}
@@ -88,20 +90,21 @@
 	is.NoErr(err)
 }
 
-// TestSilenceEndsACall has an answer that never begins, and one that stops midway.
+// TestSilenceEndsACall checks that a call times out if its response never begins or
+// stops midway.
 func TestSilenceEndsACall(t *testing.T) {
 	tests := []struct {
 		name string
 		send int
 	}{
 		{"no answer", 0},
-		{"half an answer", piece},
+		{"half an answer", chunk},
 	}
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
 			is := is.New(t)
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				// The server sees a caller leave only once it has read the body.
+				// The server notices a closed connection only after it has read the body.
 				_, _ = io.Copy(io.Discard, r.Body)
 				if x.send > 0 {
 					w.Header().Set("Content-Length", "100000")
@@ -112,37 +115,37 @@
 			}))
 			defer s.Close()
 
-			c := &storer.Client{Address: s.URL, Silence: 2 * timeout}
+			c := &storer.Client{Address: s.URL, IdleTimeout: 2 * timeout}
 			_, err := callWith(t, c, http.MethodGet, nil)
-			var given *storer.TimeoutError
-			is.True(errors.As(err, &given))
-			is.Equal(given.Read, x.send)
+			var timedOut *storer.TimeoutError
+			is.True(errors.As(err, &timedOut))
+			is.Equal(timedOut.Read, x.send)
 			is.True(errors.Is(err, storer.ErrUnreachable))
 			is.Equal(storer.Outcome(err), "timeout")
 
 			_, err = callWith(t, c, http.MethodPut, []byte("x"))
-			is.True(errors.Is(err, storer.ErrUnknown)) // it may have taken effect
+			is.True(errors.Is(err, storer.ErrUnknown)) // the write may have taken effect
 		})
 	}
 }
 
-// TestTrickleEnds has an answer whose bytes never stop coming.
+// TestTrickleEnds checks that a response that arrives slowly and never ends is aborted.
 func TestTrickleEnds(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil {
-			_, _ = w.Write(make([]byte, piece))
+			_, _ = w.Write(make([]byte, chunk))
 			_ = http.NewResponseController(w).Flush()
 			time.Sleep(pause)
 		}
 	}))
 	defer s.Close()
-	told := 0
-	c := &storer.Client{Address: s.URL, LongestTransfer: 2 * timeout, TimedOut: func() { told++ }}
+	timeouts := 0
+	c := &storer.Client{Address: s.URL, LongestTransfer: 2 * timeout, TimedOut: func() { timeouts++ }}
 
 	_, err := callWith(t, c, http.MethodGet, nil)
-	var given *storer.TimeoutError
-	is.True(errors.As(err, &given))
-	is.True(given.Read > piece) // it was read for longer than it had to begin
-	is.Equal(told, 1)
+	var timedOut *storer.TimeoutError
+	is.True(errors.As(err, &timedOut))
+	is.True(timedOut.Read > chunk) // reading went on beyond the timeout
+	is.Equal(timeouts, 1)
 }
--- a/pkg/storer/doc.go
+++ b/pkg/storer/doc.go
@@ -1,9 +1,9 @@
-// Package storer is the client of the platform's object API: named objects
+// Package storer is a client for the platform's object API: named objects
 // with revisions, conditional writes, lists and long-poll watches.
 //
-// A write has three results, never two. It took effect (nil), it certainly did
-// not (ErrConflict, ErrNotFound, ErrUnreachable, ErrRefused), or nobody knows
-// (ErrUnknown): the answer was lost after the request may have arrived. Callers
-// settle an unknown write by reading the object back, and must therefore put
-// something into it by which they recognise their own.
+// A write has one of three results. It took effect (nil), it did not take effect
+// (ErrConflict, ErrNotFound, ErrUnreachable, ErrRefused), or its result is unknown
+// (ErrUnknown) because the response was lost after the request may have arrived.
+// Callers resolve an unknown write by reading the object back. Its body must
+// therefore contain something that identifies the write.
 package storer
--- a/pkg/storer/outcome.go
+++ b/pkg/storer/outcome.go
@@ -11,23 +11,23 @@
 )
 
 type (
-	// TimeoutError reports a call that was given up before its answer was whole.
+	// TimeoutError reports a call that timed out before its response was complete.
 	TimeoutError struct {
 		// Outcome is ErrUnreachable, or ErrUnknown for a write that may have arrived.
 		Outcome error
-		// Read is how many bytes of the answer had come.
+		// Read is the number of bytes of the response body received.
 		Read int
 	}
 
-	// DialError reports a call that reached nobody.
+	// DialError reports a call for which no connection was established.
 	DialError struct {
 		Cause error
 	}
 )
 
-// Error says what is known of the call.
+// Error implements error.
 func (e *TimeoutError) Error() string {
-	return fmt.Sprintf("given up after %d bytes of the answer: %v", e.Read, e.Outcome)
+	return fmt.Sprintf("timed out after %d bytes of the response: %v", e.Read, e.Outcome)
 }
 
 // Unwrap returns the outcome.
@@ -35,17 +35,18 @@
 	return e.Outcome
 }
 
-// Error says why nobody was reached.
+// Error implements error.
 func (e *DialError) Error() string {
 	return fmt.Sprintf("not connected: %v: %v", e.Cause, ErrUnreachable)
 }
 
-// Unwrap returns the outcome.
+// Unwrap returns ErrUnreachable.
 func (e *DialError) Unwrap() error {
 	return ErrUnreachable
 }
 
-// Outcome names how a call ended, for counters: ok, or the kind of its error.
+// Outcome returns the metric label for the result of a call: "ok" or the kind of
+// error.
 func Outcome(err error) string {
 	var timeout *TimeoutError
 	switch {
@@ -67,16 +68,16 @@
 	return "unreachable"
 }
 
-// isDial tells whether a connection was not made. A call that was written before may have
-// arrived all the same: a redirect and a repeat dial again.
-func isDial(err error) bool {
+// isDialError reports whether err is a failure to connect. The call may have arrived
+// nevertheless if it was written before: a redirect or a retry dials again.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// failure is the error of a call that may have arrived: one that was given up, after some
-// bytes of its answer, or one that was broken off.
-func (c *Client) failure(q *http.Request, err error, read int) error {
+// requestError returns the error for a call that may have arrived and that timed out
+// after read bytes of its response or failed otherwise.
+func (c *Client) requestError(q *http.Request, err error, read int) error {
 	outcome := ErrUnreachable
 	if q.Method != http.MethodGet {
 		outcome = ErrUnknown
--- a/pkg/storer/outcome_test.go
+++ b/pkg/storer/outcome_test.go
@@ -11,11 +11,11 @@
 	"github.com/gullvale/gullvale/pkg/storer"
 )
 
-// deadAddress refuses connections: no process may listen on port 1 here.
+// deadAddress refuses connections, since no process listens on port 1.
 const deadAddress = "http://127.0.0.1:1"
 
-// TestRefusedRedirectLeavesDoubt guards against a write called not arrived that the platform
-// has taken, since the address that its answer names is not reached.
+// TestRefusedRedirectLeavesDoubt guards against a write that is reported as not arrived,
+// although the platform received it, because the target of its redirect is unreachable.
 func TestRefusedRedirectLeavesDoubt(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(http.RedirectHandler(deadAddress, http.StatusSeeOther))
@@ -24,7 +24,8 @@
 	is.True(errors.Is(err, storer.ErrUnknown))
 }
 
-// TestUnreachedWriteDidNotArrive guards against doubt about a write that reached nobody.
+// TestUnreachedWriteDidNotArrive guards against an unknown result for a write that could
+// not connect.
 func TestUnreachedWriteDidNotArrive(t *testing.T) {
 	is := is.New(t)
 	_, err := call(t, http.MethodPut, deadAddress, []byte("x"))
--- a/pkg/storer/progress.go
+++ b/pkg/storer/progress.go
@@ -11,83 +11,84 @@
 )
 
 const (
-	// silence is how long nothing may come of an answer that has begun, or go of a body
-	// that is being sent: some retransmissions of a path that loses packets. It is
-	// counted from byte to byte, since a limit on the whole makes what is longer than
-	// limit times bandwidth unreadable for ever: with 600 ms for a whole answer, VMs with
-	// 10 Mbit/s never had a configuration of 1 MB (TestLargeConfigurationOverNarrowLinks).
-	silence = 1 * timekeeper.Second
+	// defaultIdleTimeout bounds the pauses within a response or a request body. It allows
+	// for several retransmissions on a lossy path. It does not bound the whole transfer,
+	// since then anything longer than limit times bandwidth could never be read: with
+	// 600 ms for a whole response, VMs with 10 Mbit/s never received a configuration of
+	// 1 MB (TestLargeConfigurationOverNarrowLinks).
+	defaultIdleTimeout = 1 * timekeeper.Second
 
-	// longestTransfer bounds the transfer of one call, so that one that trickles ends:
-	// MaxObjectBytes in this time are 70 KB/s, a twentieth of the narrowest link.
-	longestTransfer = 15 * timekeeper.Second
+	// defaultMaxTransferTime bounds the transfer of one call, so that a very slow one
+	// ends. MaxObjectBytes in this time are 70 KB/s, a twentieth of the narrowest link.
+	defaultMaxTransferTime = 15 * timekeeper.Second
 
-	// shortBody is up to which length, in bytes, the sending of a body is not watched: it
-	// fits into the buffers of a connection, and an unwatched one leaves together with its
-	// head, in one packet in place of two.
-	shortBody = 64 << 10
+	// maxUnmonitoredBytes is the length up to which a request body is sent without
+	// progress monitoring. Such a body fits into the connection's buffers, and without
+	// monitoring it is sent in one packet with the headers instead of two.
+	maxUnmonitoredBytes = 64 << 10
 )
 
-// patience ends a call that makes no progress. It begins with the time that a call has for
-// its answer to begin; whatever moves extends that by the longest silence, and never
-// shortens it.
-type patience struct {
-	end   context.CancelCauseFunc
-	lock  sync.Mutex
-	timer *time.Timer
-	until time.Time
-	last  time.Time
+// progressTimer cancels a call that makes no progress. Its deadline starts as that for the
+// response to begin. Progress may extend the deadline by the idle timeout, up to latest,
+// but never shortens it.
+type progressTimer struct {
+	cancel   context.CancelCauseFunc
+	lock     sync.Mutex
+	timer    *time.Timer
+	deadline time.Time
+	latest   time.Time
 }
 
-// patience returns a context that ends when a call has made no progress for too long.
-func (c *Client) patience(ctx context.Context, timeout timekeeper.Millis) (context.Context, *patience) {
-	ctx, end := context.WithCancelCause(ctx)
-	until := time.Now().Add(timeout.Duration())
-	p := &patience{
-		end:   end,
-		until: until,
-		last:  until.Add(cmp.Or(c.LongestTransfer, longestTransfer).Duration()),
+// withProgressTimer returns a context that is cancelled with DeadlineExceeded as its cause
+// when the call makes no progress for too long.
+func (c *Client) withProgressTimer(ctx context.Context, timeout timekeeper.Millis) (context.Context, *progressTimer) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	deadline := time.Now().Add(timeout.Duration())
+	p := &progressTimer{
+		cancel:   cancel,
+		deadline: deadline,
+		latest:   deadline.Add(cmp.Or(c.LongestTransfer, defaultMaxTransferTime).Duration()),
 	}
 	p.timer = time.AfterFunc(timeout.Duration(), p.expire)
 	return ctx, p
 }
 
-func (p *patience) expire() {
-	p.end(context.DeadlineExceeded)
+func (p *progressTimer) expire() {
+	p.cancel(context.DeadlineExceeded)
 }
 
-// stop releases what a call holds.
-func (p *patience) stop() {
+// stop releases the timer and the context.
+func (p *progressTimer) stop() {
 	p.timer.Stop()
-	p.end(nil)
+	p.cancel(nil)
 }
 
-// moved notes progress, after which nothing may move for a while.
-func (p *patience) moved(rest time.Duration) {
+// extend moves the deadline to idle from now, within the maximum transfer time.
+func (p *progressTimer) extend(idle time.Duration) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	until := time.Now().Add(rest)
-	if until.After(p.last) {
-		until = p.last
+	deadline := time.Now().Add(idle)
+	if deadline.After(p.latest) {
+		deadline = p.latest
 	}
-	if until.After(p.until) {
-		p.until = until
-		p.timer.Reset(time.Until(until))
+	if deadline.After(p.deadline) {
+		p.deadline = deadline
+		p.timer.Reset(time.Until(deadline))
 	}
 }
 
-// watched is a body whose reading is progress, after which nothing may move for rest.
-type watched struct {
+// monitoredBody is a body that extends the deadline of progress by idle on each read.
+type monitoredBody struct {
 	io.ReadCloser
-	patience *patience
-	rest     time.Duration
+	progress *progressTimer
+	idle     time.Duration
 }
 
-// Read reads on and notes that something moved.
-func (w watched) Read(b []byte) (int, error) {
+// Read implements io.Reader.
+func (w monitoredBody) Read(b []byte) (int, error) {
 	n, err := w.ReadCloser.Read(b)
 	if n > 0 {
-		w.patience.moved(w.rest)
+		w.progress.extend(w.idle)
 	}
 	return n, err
 }
