--- a/pkg/finder/doc.go
+++ b/pkg/finder/doc.go
@@ -1,9 +1,10 @@
-// Package finder is for callers: it asks the entries which of them to use, keeps
-// the answer as long as it holds, and sends requests there.
+// Package finder is the client library for callers. It looks up the entries to
+// use for a service, caches the result for its lifetime, and sends requests to
+// these entries.
 //
-// What became of a request is always one of three: answered, not run, unknown.
-// Only a request that did not run, or an idempotent one, is sent again, to
-// another entry, and within the caller's deadline. Every other request carries an
-// Idempotency-Key that names the first entry as its home; when its answer is lost,
-// it is safe to ask again with that key, through any entry.
+// The outcome of a request is answered, not run or unknown. A request is retried
+// within the caller's deadline, on another entry, if it did not run or if it may
+// safely be repeated. Methods that are not idempotent carry an Idempotency-Key
+// that names the first entry as its home. After a lost response such a request
+// can be retried safely with the same key through any entry.
 package finder
--- a/pkg/finder/finder.go
+++ b/pkg/finder/finder.go
@@ -15,76 +15,76 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// The headers between callers and entries.
+// Headers exchanged between callers and entries.
 const (
-	headerService    = "Gullvale-Service"
-	headerBlock      = "Gullvale-Block"
-	headerDeadline   = "Gullvale-Deadline-Millis"
-	headerOutcome    = "Gullvale-Outcome"
-	headerReason     = "Gullvale-Reason"
-	headerRetryAfter = "Gullvale-Retry-After-Millis"
-	headerUpstream   = "Gullvale-Upstream"
-	headerEntry      = "Gullvale-Entry"
-	headerKey        = "Idempotency-Key"
-	headerFirstTry   = "Gullvale-First-Try"
+	headerService      = "Gullvale-Service"
+	headerBlock        = "Gullvale-Block"
+	headerDeadline     = "Gullvale-Deadline-Millis"
+	headerOutcome      = "Gullvale-Outcome"
+	headerReason       = "Gullvale-Reason"
+	headerRetryAfter   = "Gullvale-Retry-After-Millis"
+	headerUpstream     = "Gullvale-Upstream"
+	headerEntry        = "Gullvale-Entry"
+	headerKey          = "Idempotency-Key"
+	headerFirstAttempt = "Gullvale-First-Try"
 )
 
 const (
-	lookupTimeout = 3 * timekeeper.Second
-	maxLookup     = 64 << 10
+	lookupTimeout  = 3 * timekeeper.Second
+	maxLookupBytes = 64 << 10
 )
 
-// The outcomes. The zero value claims least.
+// Outcomes of a request. The zero value is the one that makes no claim.
 const (
 	Unknown Outcome = iota
 	NotRun
 	Answered
 )
 
-// ErrNoEntry reports that no entry could be asked.
+// ErrNoEntry reports that there was no entry to send a lookup to.
 var ErrNoEntry = eris.New("no entry reached")
 
 type (
-	// Outcome says what became of a request.
+	// Outcome tells whether a request ran and was answered.
 	Outcome uint8
 
-	// Finder finds entries and sends requests to them. Seeds must be set; the
-	// other fields have useful zero values. It is safe for concurrent use.
+	// Finder looks up entries and sends requests to them. Seeds must be set; the
+	// zero values of the other fields are valid. It is safe for concurrent use.
 	Finder struct {
-		// Seeds are the caller addresses of some daemons, "ip:port".
+		// Seeds are the addresses of some daemons' listeners for callers, "ip:port".
 		Seeds []string
 		// HTTP sends requests. Nil means http.DefaultClient. Its CheckRedirect is not
-		// used: redirects are passed on as answers. A transport that does not support
-		// httptrace leaves each request without an answer unknown.
+		// used: redirects are returned as responses. If its transport does not support
+		// httptrace, the outcome of each request without a response is unknown.
 		HTTP  *http.Client
 		Clock timekeeper.Clock
 
-		lock    sync.Mutex
-		answers map[key]*kept
-		avoided avoided
-		next    atomic.Uint64
-		lookups atomic.Uint64
+		lock        sync.Mutex
+		cache       map[lookupKey]*cachedLookup
+		unreachable unreachableSet
+		next        atomic.Uint64
+		lookups     atomic.Uint64
 	}
 
-	// Request is what a caller wants. Body is kept whole, so that a request
-	// that did not run can be sent again.
+	// Request is a request of a caller. Body is held in memory, so that the
+	// request can be retried.
 	Request struct {
 		Service string
-		// Block is an address of the client block for which the caller asks,
-		// "" for its own.
+		// Block is an address in the client block on whose behalf the request is
+		// sent; "" means the caller's own block.
 		Block  string
 		Method string
 		// Target is the path and query.
 		Target string
 		Header http.Header
 		Body   []byte
-		// Deadline is how long the caller will wait, 0 for as long as the
-		// service allows.
+		// Deadline is how long the caller waits; 0 means as long as the service
+		// allows.
 		Deadline timekeeper.Millis
 	}
 
-	// Response is an answer, or why there is none. Body must be closed when it
-	// is not nil. An error while it is read means that the answer is broken.
+	// Response is a response, or the reason why there is none. Body must be closed
+	// if it is not nil. A read error means that the response is incomplete.
 	Response struct {
 		Outcome  Outcome
 		Status   int
@@ -93,18 +93,18 @@
 		Reason   string
 		Entry    string
 		Upstream string
-		// RetryAfter is when to come back after NotRun.
+		// RetryAfter is how long to wait before a retry; 0 means not specified.
 		RetryAfter timekeeper.Millis
-		Tries      int
+		Attempts   int
 	}
 
-	// Entry is one daemon named by a look-up.
+	// Entry is a daemon returned by a lookup.
 	Entry struct {
 		Address     string
 		Incarnation string
 	}
 
-	// Lookup is the answer to a look-up.
+	// Lookup is the result of a lookup.
 	Lookup struct {
 		Service        string
 		Site           string
@@ -114,18 +114,18 @@
 		Plan           uint64
 	}
 
-	key struct {
+	lookupKey struct {
 		service string
 		block   string
 	}
 
-	kept struct {
-		lookup Lookup
-		until  timekeeper.Millis
+	cachedLookup struct {
+		lookup  Lookup
+		expires timekeeper.Millis
 	}
 )
 
-// String names the outcome.
+// String returns the outcome as sent in the Gullvale-Outcome header.
 func (o Outcome) String() string {
 	switch o {
 	case Answered:
@@ -136,37 +136,38 @@
 	return "unknown"
 }
 
-// Lookups counts the look-ups that were sent.
+// Lookups returns the number of lookups sent.
 func (f *Finder) Lookups() uint64 {
 	return f.lookups.Load()
 }
 
-// Find returns the entries for a service and block, from memory while the last
-// answer holds.
+// Find returns the entries for a service and block. The result is cached for its
+// lifetime.
 func (f *Finder) Find(ctx context.Context, service, block string) (Lookup, error) {
-	k := key{service, block}
+	k := lookupKey{service, block}
 	now := f.Clock.Now()
 	f.lock.Lock()
-	a := f.answers[k]
+	a := f.cache[k]
 	f.lock.Unlock()
-	if a != nil && now < a.until {
+	if a != nil && now < a.expires {
 		return a.lookup, nil
 	}
-	l, err := f.ask(ctx, k, a)
+	l, err := f.lookup(ctx, k, a)
 	if err != nil {
 		return Lookup{}, err
 	}
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if f.answers == nil {
-		f.answers = map[key]*kept{}
+	if f.cache == nil {
+		f.cache = map[lookupKey]*cachedLookup{}
 	}
-	f.answers[k] = &kept{lookup: l, until: now + l.LifetimeMillis}
+	f.cache[k] = &cachedLookup{lookup: l, expires: now + l.LifetimeMillis}
 	return l, nil
 }
 
-// ask asks the entries of the last answer first, then the seeds.
-func (f *Finder) ask(ctx context.Context, k key, last *kept) (Lookup, error) {
+// lookup sends a lookup to the entries of the last result and then to the seeds,
+// until one succeeds.
+func (f *Finder) lookup(ctx context.Context, k lookupKey, last *cachedLookup) (Lookup, error) {
 	var addresses []string
 	if last != nil {
 		for _, e := range last.lookup.Entries {
@@ -178,9 +179,9 @@
 		addresses = append(addresses, f.Seeds[(start+i)%len(f.Seeds)])
 	}
 	err := ErrNoEntry
-	for _, a := range f.avoided.order(addresses, f.Clock.Now()) {
+	for _, a := range f.unreachable.reachableFirst(addresses, f.Clock.Now()) {
 		var l Lookup
-		if l, err = f.askOne(ctx, a, k); err == nil {
+		if l, err = f.lookupAt(ctx, a, k); err == nil {
 			return l, nil
 		}
 		if ctx.Err() != nil {
@@ -190,7 +191,7 @@
 	return Lookup{}, err
 }
 
-func (f *Finder) askOne(ctx context.Context, address string, k key) (Lookup, error) {
+func (f *Finder) lookupAt(ctx context.Context, address string, k lookupKey) (Lookup, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout.Duration())
 	defer cancel()
 	f.lookups.Add(1)
@@ -203,29 +204,29 @@
 		return Lookup{}, err
 	}
 	p, err := f.client().Do(q)
-	f.avoided.note(address, err, f.Clock.Now())
+	f.unreachable.record(address, err, f.Clock.Now())
 	if err != nil {
 		return Lookup{}, err
 	}
 	defer p.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(p.Body, maxLookup))
+	body, err := io.ReadAll(io.LimitReader(p.Body, maxLookupBytes))
 	if err != nil {
 		return Lookup{}, err
 	}
 	if p.StatusCode != http.StatusOK {
-		return Lookup{}, eris.Errorf("look-up of %s at %s: %s", k.service, address, bytes.TrimSpace(body))
+		return Lookup{}, eris.Errorf("lookup of %s at %s: %s", k.service, address, bytes.TrimSpace(body))
 	}
 	var l Lookup
 	if err := json.Unmarshal(body, &l); err != nil {
-		return Lookup{}, eris.Wrapf(err, "look-up at %s", address)
+		return Lookup{}, eris.Wrapf(err, "decode lookup response of %s", address)
 	}
 	return l, nil
 }
 
-// Forget drops the answer for a service and block, so that the next request
-// asks anew.
-func (f *Finder) Forget(service, block string) {
+// Invalidate removes the cached result for a service and block, so that the next
+// request sends a new lookup.
+func (f *Finder) Invalidate(service, block string) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	delete(f.answers, key{service, block})
+	delete(f.cache, lookupKey{service, block})
 }
--- a/pkg/finder/finder_test.go
+++ b/pkg/finder/finder_test.go
@@ -14,32 +14,32 @@
 	"github.com/gullvale/gullvale/pkg/finder"
 )
 
-// deadAddress refuses connections: no process may listen on port 1 here.
+// deadAddress refuses connections, since no process listens on port 1.
 const deadAddress = "127.0.0.1:1"
 
-// entries is two entries that name each other, with one between them that is gone.
-// The first takes requests and closes the connection without an answer, the other
-// answers what carries a key of its own, as the key's home does.
-type entries struct {
+// testEntries is a list of three entries. The first runs requests and closes the
+// connection without a response, the second is unreachable, and the last, like the
+// home of a key, runs only requests without a key or with a key that names it.
+type testEntries struct {
 	lock        sync.Mutex
 	first, last string
-	// keys are the keys that came, in their order, and ran counts what ran.
+	// keys holds the received keys in order, and ran counts the requests that ran.
 	keys []string
 	ran  int
 }
 
-func startEntries(t *testing.T) *entries {
+func startTestEntries(t *testing.T) *testEntries {
 	t.Helper()
-	x := &entries{}
-	a := httptest.NewServer(http.HandlerFunc(x.breakOff))
+	x := &testEntries{}
+	a := httptest.NewServer(http.HandlerFunc(x.abort))
 	t.Cleanup(a.Close)
-	b := httptest.NewServer(http.HandlerFunc(x.answer))
+	b := httptest.NewServer(http.HandlerFunc(x.respond))
 	t.Cleanup(b.Close)
 	x.first, x.last = a.Listener.Addr().String(), b.Listener.Addr().String()
 	return x
 }
 
-func (x *entries) lookup(w http.ResponseWriter) {
+func (x *testEntries) lookup(w http.ResponseWriter) {
 	_ = json.NewEncoder(w).Encode(finder.Lookup{Entries: []finder.Entry{
 		{Address: x.first, Incarnation: "00000000000000aa"},
 		{Address: deadAddress, Incarnation: "00000000000000bb"},
@@ -47,7 +47,7 @@
 	}})
 }
 
-func (x *entries) breakOff(w http.ResponseWriter, r *http.Request) {
+func (x *testEntries) abort(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/Lookup" {
 		x.lookup(w)
 		return
@@ -56,7 +56,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (x *entries) answer(w http.ResponseWriter, r *http.Request) {
+func (x *testEntries) respond(w http.ResponseWriter, r *http.Request) {
 	key := r.Header.Get("Idempotency-Key")
 	switch {
 	case r.URL.Path == "/Lookup":
@@ -65,28 +65,29 @@
 		x.run(key)
 		w.Header().Set("Gullvale-Outcome", "answered")
 	default:
-		x.note(key)
+		x.recordKey(key)
 		w.Header().Set("Gullvale-Outcome", "unknown")
 		w.WriteHeader(http.StatusBadGateway)
 	}
 }
 
-func (x *entries) run(key string) {
-	x.note(key)
+func (x *testEntries) run(key string) {
+	x.recordKey(key)
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	x.ran++
 }
 
-func (x *entries) note(key string) {
+func (x *testEntries) recordKey(key string) {
 	x.lock.Lock()
 	defer x.lock.Unlock()
 	x.keys = append(x.keys, key)
 }
 
-// TestDoubtStays sends a request whose first entry ends without an answer and whose
-// second is not reached. The third must not run it again under a new key, and what
-// became of it stays unknown. An idempotent one is simply answered.
+// TestDoubtStays guards against a request that runs twice under different keys: its
+// first entry closes the connection without a response, and the second is unreachable.
+// The outcome must stay unknown, but a request with an idempotent method is answered
+// by the third.
 func TestDoubtStays(t *testing.T) {
 	for _, c := range []struct {
 		method  string
@@ -98,7 +99,7 @@
 	} {
 		t.Run(c.method, func(t *testing.T) {
 			is := is.New(t)
-			x := startEntries(t)
+			x := startTestEntries(t)
 			f := &finder.Finder{Seeds: []string{x.last}, HTTP: &http.Client{Transport: &http.Transport{}}}
 			p, err := f.Send(context.Background(), finder.Request{Service: "s", Method: c.method, Target: "/x", Body: []byte("one keg")})
 			is.NoErr(err)
--- a/pkg/finder/redirect_test.go
+++ b/pkg/finder/redirect_test.go
@@ -12,8 +12,8 @@
 	"github.com/gullvale/gullvale/pkg/finder"
 )
 
-// TestRedirectIsTheAnswer guards against a request that runs several times because the
-// answer of its upstream names another address, which is not reached.
+// TestRedirectIsTheAnswer guards against a request that runs several times because its
+// upstream responds with a redirect to an unreachable address.
 func TestRedirectIsTheAnswer(t *testing.T) {
 	for _, status := range []int{http.StatusMovedPermanently, http.StatusFound, http.StatusSeeOther, http.StatusTemporaryRedirect, http.StatusPermanentRedirect} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
--- a/pkg/finder/retry_test.go
+++ b/pkg/finder/retry_test.go
@@ -15,26 +15,26 @@
 	"github.com/gullvale/gullvale/pkg/finder"
 )
 
-// dying is an entry that answers look-ups and one request, and ends while it runs the next
-// that comes over the same connection.
-type dying struct {
+// crashingEntry is an entry that answers lookups and one request, and terminates while it
+// runs the next request on the same connection.
+type crashingEntry struct {
 	listener net.Listener
 	ran      atomic.Int64
 }
 
-func startDying(t *testing.T) *dying {
+func startCrashingEntry(t *testing.T) *crashingEntry {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &dying{listener: l}
+	d := &crashingEntry{listener: l}
 	t.Cleanup(func() { _ = l.Close() })
 	go d.run()
 	return d
 }
 
-func (d *dying) run() {
+func (d *crashingEntry) run() {
 	for {
 		c, err := d.listener.Accept()
 		if err != nil {
@@ -44,8 +44,8 @@
 	}
 }
 
-// serve serves one connection to its end.
-func (d *dying) serve(c net.Conn) {
+// serve serves a connection until it is closed or the entry terminates.
+func (d *crashingEntry) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (d *dying) reply(c net.Conn, v any) {
+func (d *crashingEntry) reply(c net.Conn, v any) {
 	w := httptest.NewRecorder()
 	w.Header().Set("Gullvale-Outcome", "answered")
 	if v != nil {
@@ -76,11 +76,12 @@
 	_ = p.Write(c)
 }
 
-// TestHiddenRepeatLeavesDoubt guards against a request called "not run" because the transport
-// repeated it by itself and was refused the connection, after an entry had run it and ended.
+// TestHiddenRepeatLeavesDoubt guards against a request reported as not run although it ran:
+// the entry terminates after it ran the request, the transport retries on its own, and the
+// new connection is refused.
 func TestHiddenRepeatLeavesDoubt(t *testing.T) {
 	is := is.New(t)
-	d := startDying(t)
+	d := startCrashingEntry(t)
 	f := &finder.Finder{Seeds: []string{d.listener.Addr().String()}, HTTP: &http.Client{Transport: &http.Transport{}}}
 	get := finder.Request{Service: "s", Method: http.MethodGet, Target: "/x"}
 	p, err := f.Send(context.Background(), get)
@@ -93,13 +94,13 @@
 	is.Equal(p.Outcome, finder.Unknown)
 }
 
-// TestTransportRepeatsNothing guards against a request that must not run twice and that the
-// transport repeats by itself, for a field by which it takes any method for idempotent.
+// TestTransportRepeatsNothing guards against the transport's own retries of a request that
+// must not run twice. The transport regards any method with these headers as idempotent.
 func TestTransportRepeatsNothing(t *testing.T) {
 	for _, field := range []string{"Idempotency-Key", "X-Idempotency-Key"} {
 		t.Run(field, func(t *testing.T) {
 			is := is.New(t)
-			var came atomic.Int64
+			var received atomic.Int64
 			var address string
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path == "/Lookup" {
@@ -107,7 +108,7 @@
 					return
 				}
 				is.Equal(r.Header.Get(field), "k-1")
-				if came.Add(1) > 1 {
+				if received.Add(1) > 1 {
 					panic(http.ErrAbortHandler)
 				}
 				w.Header().Set("Gullvale-Outcome", "answered")
@@ -122,7 +123,7 @@
 			p, err = f.Send(context.Background(), q)
 			is.NoErr(err)
 			is.Equal(p.Outcome, finder.Unknown)
-			is.Equal(came.Load(), int64(1+p.Tries))
+			is.Equal(received.Load(), int64(1+p.Attempts))
 		})
 	}
 }
--- a/pkg/finder/send.go
+++ b/pkg/finder/send.go
@@ -17,81 +17,81 @@
 )
 
 const (
-	// maxTries bounds how often one request is sent.
-	maxTries = 4
+	// maxAttempts limits how often a request is sent.
+	maxAttempts = 4
 
-	// keyBytes is the length of the random part of a key.
+	// keyBytes is the length of the random part of a key in bytes.
 	keyBytes = 12
 )
 
 var (
-	// idempotent lists the methods that may run twice.
-	idempotent = []string{http.MethodGet, http.MethodHead, http.MethodOptions}
+	// idempotentMethods lists the methods whose requests may run more than once.
+	idempotentMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions}
 
-	// replayHeaders make http.Transport repeat a request of any method that has no body.
-	// It does not know them in lower case, which means the same to entries.
+	// replayHeaders make http.Transport retry a request without a body whatever its method.
+	// The transport does not recognise them in lower case, whereas entries do.
 	replayHeaders = []string{headerKey, "X-Idempotency-Key"}
 )
 
 type (
-	// sentKey is an idempotency key, "" for none, and whether it is sent for the
-	// first time.
-	sentKey struct {
+	// idempotencyKey is an idempotency key, where "" means none. first reports whether
+	// it is sent for the first time.
+	idempotencyKey struct {
 		value string
 		first bool
 	}
 
-	// sending is a request on its way through its tries.
-	sending struct {
+	// pendingRequest is the state of a request across its attempts.
+	pendingRequest struct {
 		request Request
-		// end is when the caller gives up, 0 for never.
-		end  timekeeper.Millis
-		key  sentKey
-		last Response
-		// mayHaveRun is that one of the tries may have run.
+		// deadline is when the caller stops waiting; 0 means never.
+		deadline timekeeper.Millis
+		key      idempotencyKey
+		last     Response
+		// mayHaveRun reports whether one of the attempts may have run.
 		mayHaveRun bool
 	}
 )
 
-// Send sends a request to the best entry, and to others while it did not run.
-// The error says only that no entry could be asked; every other end of the
-// request is a Response.
+// Send sends a request to the first entry, and retries it on others where this is
+// safe. It returns an error only if the first lookup fails; any other result is
+// described by the Response.
 func (f *Finder) Send(ctx context.Context, r Request) (Response, error) {
-	s := sending{
+	s := pendingRequest{
 		request: r,
-		key:     sentKey{value: r.Header.Get(headerKey)},
+		key:     idempotencyKey{value: r.Header.Get(headerKey)},
 		last:    Response{Outcome: NotRun, Reason: ErrNoEntry.Error()},
 	}
 	if r.Deadline > 0 {
-		s.end = f.Clock.Now() + r.Deadline
+		s.deadline = f.Clock.Now() + r.Deadline
 	}
-	for try := 1; try <= maxTries; try++ {
+	for n := 1; n <= maxAttempts; n++ {
 		l, err := f.Find(ctx, r.Service, r.Block)
-		if err != nil && try == 1 {
+		if err != nil && n == 1 {
 			return Response{Outcome: NotRun, Reason: err.Error()}, err
 		}
 		if err != nil || len(l.Entries) == 0 {
 			break
 		}
-		f.try(ctx, &s, f.entry(l.Entries, try), try)
-		if !f.again(r, s.last, s.end) {
+		f.attempt(ctx, &s, f.chooseEntry(l.Entries, n), n)
+		if !f.shouldRetry(r, s.last, s.deadline) {
 			break
 		}
-		f.Forget(r.Service, r.Block)
+		f.Invalidate(r.Service, r.Block)
 	}
 	return s.last, nil
 }
 
-// try sends a request to an entry for the n-th time. Once it may have run, a try that
-// did not run says nothing of the ones before: the key stays the same, and so does the
-// doubt. With a new key another entry would run it again.
-func (f *Finder) try(ctx context.Context, s *sending, e Entry, n int) {
+// attempt sends a request to an entry as the n-th attempt. Once an attempt may have run,
+// a later one that did not run does not change that: the outcome stays unknown and the
+// key stays the same, since with a new key another entry would run the request again.
+func (f *Finder) attempt(ctx context.Context, s *pendingRequest, e Entry, n int) {
 	r := s.request
 	if r.needsKey() && (s.key.value == "" || s.last.Outcome == NotRun && r.Header.Get(headerKey) == "") {
-		s.key = sentKey{value: newKey(e), first: true}
+		s.key = idempotencyKey{value: newKey(e), first: true}
 	}
-	s.last = f.sendTo(ctx, e, r, s.key, s.end)
-	s.last.Tries = n
+	s.last = f.sendTo(ctx, e, r, s.key, s.deadline)
+	s.last.Attempts = n
 	s.key.first = false
 	if s.mayHaveRun && s.last.Outcome == NotRun {
 		s.last.Outcome = Unknown
@@ -99,58 +99,59 @@
 	s.mayHaveRun = s.last.Outcome == Unknown
 }
 
-// entry chooses the entry for a try: the next one, passing over those that were not
-// reached lately unless none was.
-func (f *Finder) entry(all []Entry, try int) Entry {
+// chooseEntry returns the entry for the n-th attempt: the next one in turn, skipping
+// recently unreachable ones unless all of them are.
+func (f *Finder) chooseEntry(all []Entry, n int) Entry {
 	now := f.Clock.Now()
 	for i := range all {
-		e := all[(try-1+i)%len(all)]
-		if !f.avoided.take(e.Address, now) {
+		e := all[(n-1+i)%len(all)]
+		if !f.unreachable.shouldSkip(e.Address, now) {
 			return e
 		}
 	}
-	return all[(try-1)%len(all)]
+	return all[(n-1)%len(all)]
 }
 
-// again tells whether a request may be sent once more now. An entry that names
-// a time to come back is obeyed by whoever called, not here.
-func (f *Finder) again(r Request, p Response, end timekeeper.Millis) bool {
-	if end > 0 && f.Clock.Now() >= end || p.RetryAfter > 0 {
+// shouldRetry reports whether a request may be retried immediately. If the response
+// has a RetryAfter, the retry is left to the caller.
+func (f *Finder) shouldRetry(r Request, p Response, deadline timekeeper.Millis) bool {
+	if deadline > 0 && f.Clock.Now() >= deadline || p.RetryAfter > 0 {
 		return false
 	}
 	switch p.Outcome {
 	case NotRun:
 		return p.Status == 0 || p.Status == http.StatusServiceUnavailable
 	case Unknown:
-		// With a key it is safe to ask again: its home knows, or says that
-		// nobody does. Once an entry has said so, that is that.
-		return slices.Contains(idempotent, r.Method) || p.Status == 0
+		// A retry with the same key is safe: the home of the key returns the
+		// recorded outcome or reports it as unknown. Once an entry has reported
+		// it as unknown, a further attempt gives no other result.
+		return slices.Contains(idempotentMethods, r.Method) || p.Status == 0
 	}
 	return false
 }
 
-// needsKey tells whether a request must not run twice.
+// needsKey reports whether a request must not run twice.
 func (r Request) needsKey() bool {
-	return !slices.Contains(idempotent, r.Method)
+	return !slices.Contains(idempotentMethods, r.Method)
 }
 
-// newKey makes a key that names the entry as its home.
+// newKey returns a new key whose home is e.
 func newKey(e Entry) string {
 	b := make([]byte, keyBytes)
 	_, _ = rand.Read(b)
 	return e.Incarnation + "." + hex.EncodeToString(b)
 }
 
-func (f *Finder) sendTo(ctx context.Context, e Entry, r Request, key sentKey, end timekeeper.Millis) Response {
+func (f *Finder) sendTo(ctx context.Context, e Entry, r Request, key idempotencyKey, deadline timekeeper.Millis) Response {
 	client := f.client()
-	var p progress
-	p.reported.Store(reports(client.Transport))
-	q, err := http.NewRequestWithContext(p.watch(ctx), r.Method, "http://"+e.Address+r.Target, bodyOf(r.Body))
+	var p requestTrace
+	p.supported.Store(supportsTrace(client.Transport))
+	q, err := http.NewRequestWithContext(p.withTrace(ctx), r.Method, "http://"+e.Address+r.Target, requestBody(r.Body))
 	if err != nil {
 		return Response{Outcome: NotRun, Reason: err.Error()}
 	}
 	q.ContentLength = int64(len(r.Body))
-	// Without GetBody the transport does not repeat a request that may have
+	// Without GetBody the transport does not retry a request that may have
 	// run.
 	q.GetBody = nil
 	for n, v := range r.Header {
@@ -160,26 +161,26 @@
 	if r.Block != "" {
 		q.Header.Set(headerBlock, r.Block)
 	}
-	if end > 0 {
-		q.Header.Set(headerDeadline, strconv.FormatInt(int64(max(end-f.Clock.Now(), 1)), 10))
+	if deadline > 0 {
+		q.Header.Set(headerDeadline, strconv.FormatInt(int64(max(deadline-f.Clock.Now(), 1)), 10))
 	}
 	if key.value != "" {
 		q.Header.Set(headerKey, key.value)
 	}
-	hideKeys(q.Header)
+	lowercaseReplayHeaders(q.Header)
 	if key.first {
-		q.Header.Set(headerFirstTry, "1")
+		q.Header.Set(headerFirstAttempt, "1")
 	}
-	a, err := do(client, q, f.patience(end))
-	f.avoided.note(e.Address, err, f.Clock.Now())
+	a, err := doWithTimeout(client, q, f.responseTimeout(deadline))
+	f.unreachable.record(e.Address, err, f.Clock.Now())
 	if err != nil {
 		return Response{Outcome: p.outcome(), Reason: err.Error()}
 	}
-	return response(a)
+	return newResponse(a)
 }
 
-// hideKeys puts the names of replayHeaders in lower case.
-func hideKeys(h http.Header) {
+// lowercaseReplayHeaders changes the names of replayHeaders in h to lower case.
+func lowercaseReplayHeaders(h http.Header) {
 	for _, n := range replayHeaders {
 		if v, ok := h[n]; ok {
 			delete(h, n)
@@ -188,14 +189,14 @@
 	}
 }
 
-func bodyOf(b []byte) io.Reader {
+func requestBody(b []byte) io.Reader {
 	if len(b) == 0 {
 		return http.NoBody
 	}
 	return bytes.NewReader(b)
 }
 
-func response(p *http.Response) Response {
+func newResponse(p *http.Response) Response {
 	r := Response{
 		Status:   p.StatusCode,
 		Header:   p.Header,
@@ -215,21 +216,20 @@
 		r.Outcome = NotRun
 	}
 	r.Body = nil
-	_, _ = io.Copy(io.Discard, io.LimitReader(p.Body, maxLookup))
+	_, _ = io.Copy(io.Discard, io.LimitReader(p.Body, maxLookupBytes))
 	p.Body.Close()
 	return r
 }
 
-// client returns the client to send with. It follows no redirect: one from an upstream is
-// the answer to the request, and is for the caller to follow.
+// client returns an HTTP client that does not follow redirects. A redirect from an upstream
+// is the response to the request and is left to the caller.
 func (f *Finder) client() *http.Client {
 	c := *cmp.Or(f.HTTP, http.DefaultClient)
 	c.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &c
 }
 
-// Wait sleeps as long as an entry asked for, and reports false when ctx ends
-// before.
+// Wait sleeps for the RetryAfter of p. It returns false if ctx is done earlier.
 func Wait(ctx context.Context, p Response) bool {
 	select {
 	case <-ctx.Done():
--- a/pkg/finder/timeout.go
+++ b/pkg/finder/timeout.go
@@ -11,43 +11,44 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// grace is how long after the deadline an entry's answer is waited for: the entry keeps the
-// deadline itself, and alone knows what became of the request.
-const grace = timekeeper.Second
+// responseGrace is how long to wait for the response of an entry after the deadline. The
+// entry enforces the deadline itself, and only the entry knows the outcome of the request.
+const responseGrace = timekeeper.Second
 
-// errNoAnswer reports an entry that did not begin its answer in time.
-var errNoAnswer = eris.New("no answer from the entry")
+// errNoResponse reports that an entry did not begin its response in time.
+var errNoResponse = eris.New("no response from the entry")
 
-// body is the body of an answer, and what ends its request.
-type body struct {
+// responseBody cancels the context of its request when it is closed.
+type responseBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
-// Close closes the body and releases its request.
-func (b body) Close() error {
+// Close closes the body and cancels the context of the request.
+func (b responseBody) Close() error {
 	defer b.cancel()
 	return b.ReadCloser.Close()
 }
 
-// patience returns how long to wait for an answer to begin, 0 for as long as it takes.
-func (f *Finder) patience(end timekeeper.Millis) time.Duration {
-	if end == 0 {
+// responseTimeout returns how long to wait for a response to begin; 0 means no limit.
+func (f *Finder) responseTimeout(deadline timekeeper.Millis) time.Duration {
+	if deadline == 0 {
 		return 0
 	}
-	return max(end-f.Clock.Now(), 0).Duration() + grace.Duration()
+	return max(deadline-f.Clock.Now(), 0).Duration() + responseGrace.Duration()
 }
 
-// do sends a request and waits for the head of its answer. The body may take longer.
-func do(client *http.Client, q *http.Request, patience time.Duration) (*http.Response, error) {
-	if patience == 0 {
+// doWithTimeout sends a request and waits up to timeout for the response headers; 0 means no
+// limit. The timeout does not apply to the response body.
+func doWithTimeout(client *http.Client, q *http.Request, timeout time.Duration) (*http.Response, error) {
+	if timeout == 0 {
 		return client.Do(q)
 	}
 	ctx, cancel := context.WithCancel(q.Context())
-	timer := time.AfterFunc(patience, cancel)
+	timer := time.AfterFunc(timeout, cancel)
 	p, err := client.Do(q.WithContext(ctx))
 	if !timer.Stop() {
-		err = errNoAnswer
+		err = errNoResponse
 	}
 	if err != nil {
 		cancel()
@@ -56,6 +57,6 @@
 		}
 		return nil, err
 	}
-	p.Body = body{p.Body, cancel}
+	p.Body = responseBody{p.Body, cancel}
 	return p, nil
 }
--- a/pkg/finder/timeout_test.go
+++ b/pkg/finder/timeout_test.go
@@ -14,8 +14,8 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// TestSilentEntryEndsAtDeadline guards against a caller that waits for ever at an entry
-// which takes requests and answers none, as a process that stands still.
+// TestSilentEntryEndsAtDeadline guards against a caller that waits forever for an entry
+// that accepts requests and never responds, such as a stopped process.
 func TestSilentEntryEndsAtDeadline(t *testing.T) {
 	is := is.New(t)
 	const deadline = 100 * timekeeper.Millis(1)
@@ -40,7 +40,7 @@
 	p, err := f.Send(context.Background(), q)
 	is.NoErr(err)
 	is.Equal(p.Outcome, finder.Unknown)
-	is.Equal(p.Tries, 1)
+	is.Equal(p.Attempts, 1)
 
 	q.Target = "/kegs"
 	p, err = f.Send(context.Background(), q)
--- a/pkg/finder/trace.go
+++ b/pkg/finder/trace.go
@@ -7,33 +7,35 @@
 	"sync/atomic"
 )
 
-// progress notes how far the transport gets with a request, over all connections that it
-// uses for it. The zero value is ready.
-type progress struct {
-	// reported is that the transport is one that reports its progress.
-	reported, wrote atomic.Bool
+// requestTrace records how far the transport got with a request, over all connections
+// used for it. The zero value is ready to use.
+type requestTrace struct {
+	// supported is set if the transport supports httptrace, and wrote once it has
+	// written the request headers to a connection.
+	supported, wrote atomic.Bool
 }
 
-// reports tells whether a transport is known to report its progress, also when it fails
-// before it has begun.
-func reports(t http.RoundTripper) bool {
+// supportsTrace reports whether t is known to support httptrace even if it fails before
+// it opens a connection.
+func supportsTrace(t http.RoundTripper) bool {
 	_, ok := t.(*http.Transport)
 	return t == nil || ok
 }
 
-// watch returns a context in which a request reports its progress.
-func (p *progress) watch(ctx context.Context) context.Context {
+// withTrace returns a context that makes the transport report to p.
+func (p *requestTrace) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GetConn:      func(string) { p.reported.Store(true) },
+		GetConn:      func(string) { p.supported.Store(true) },
 		WroteHeaders: func() { p.wrote.Store(true) },
 	})
 }
 
-// outcome returns what became of a request without an answer. The error does not tell: it
-// may be of a connection that came after one on which the request was written, and a
-// transport that reports nothing may have sent anything.
-func (p *progress) outcome() Outcome {
-	if p.reported.Load() && !p.wrote.Load() {
+// outcome returns the outcome of a request that got no response. The error is not
+// sufficient to determine it: it may come from a later connection than the one on which
+// the request was written. If the transport does not support httptrace, the request may
+// have been sent.
+func (p *requestTrace) outcome() Outcome {
+	if p.supported.Load() && !p.wrote.Load() {
 		return NotRun
 	}
 	return Unknown
--- a/pkg/finder/trace_test.go
+++ b/pkg/finder/trace_test.go
@@ -14,19 +14,20 @@
 	"github.com/gullvale/gullvale/pkg/finder"
 )
 
-// errSilent is the error of a transport that runs requests and reports nothing of them.
-var errSilent = errors.New("answer lost")
+// errResponseLost is the error returned by untracedTransport.
+var errResponseLost = errors.New("response lost")
 
-// silent is a transport that answers look-ups, runs every other request and loses its answer.
-type silent struct {
+// untracedTransport is a transport without httptrace support. It answers lookups, runs
+// every other request and loses the response.
+type untracedTransport struct {
 	entry finder.Entry
 	keys  []string
 }
 
-func (s *silent) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *untracedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Path != "/Lookup" {
 		s.keys = append(s.keys, r.Header[strings.ToLower("Idempotency-Key")][0])
-		return nil, errSilent
+		return nil, errResponseLost
 	}
 	w := httptest.NewRecorder()
 	_ = json.NewEncoder(w).Encode(finder.Lookup{Entries: []finder.Entry{s.entry}})
@@ -34,10 +35,10 @@
 }
 
 // TestSilentTransportLeavesDoubt guards against a request that runs under several keys
-// because the transport of an embedding program does not report what it wrote.
+// because the transport of the embedding program does not support httptrace.
 func TestSilentTransportLeavesDoubt(t *testing.T) {
 	is := is.New(t)
-	x := &silent{entry: finder.Entry{Address: deadAddress, Incarnation: "00000000000000aa"}}
+	x := &untracedTransport{entry: finder.Entry{Address: deadAddress, Incarnation: "00000000000000aa"}}
 	f := &finder.Finder{Seeds: []string{deadAddress}, HTTP: &http.Client{Transport: x}}
 	p, err := f.Send(context.Background(), finder.Request{Service: "s", Method: http.MethodPost, Target: "/x", Body: []byte("one keg")})
 	is.NoErr(err)
@@ -48,11 +49,11 @@
 	}
 }
 
-// TestUnsentRequestDidNotRun guards against a request left in doubt that the transport
-// refused before it opened a connection.
+// TestUnsentRequestDidNotRun guards against an unknown outcome for a request that the
+// transport rejected before it opened a connection.
 func TestUnsentRequestDidNotRun(t *testing.T) {
 	is := is.New(t)
-	d := startDying(t)
+	d := startCrashingEntry(t)
 	f := &finder.Finder{Seeds: []string{d.listener.Addr().String()}, HTTP: &http.Client{Transport: &http.Transport{}}}
 	_, err := f.Find(context.Background(), "s", "")
 	is.NoErr(err)
--- a/pkg/finder/unreachable.go
+++ b/pkg/finder/unreachable.go
@@ -8,58 +8,59 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// avoidFor is how long an address that was not reached is asked only when there is
-// no other. One request at a time finds out whether it is back.
-const avoidFor = 3 * timekeeper.Second
+// skipPeriod is how long an unreachable address is used only if there is no other.
+// After that, one request per period probes whether it is reachable again.
+const skipPeriod = 3 * timekeeper.Second
 
-// avoided is the addresses that were not reached lately. The zero value is ready.
-type avoided struct {
+// unreachableSet holds the addresses that were unreachable recently. The zero value
+// is ready to use.
+type unreachableSet struct {
 	lock  sync.Mutex
 	until map[string]timekeeper.Millis
 }
 
-// note takes in how a request to an address ended.
-func (a *avoided) note(address string, err error, now timekeeper.Millis) {
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	if !isDial(err) {
-		delete(a.until, address)
+// record updates the set with the result of a request to address.
+func (s *unreachableSet) record(address string, err error, now timekeeper.Millis) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if !isDialError(err) {
+		delete(s.until, address)
 		return
 	}
-	if a.until == nil {
-		a.until = map[string]timekeeper.Millis{}
+	if s.until == nil {
+		s.until = map[string]timekeeper.Millis{}
 	}
-	a.until[address] = now + avoidFor
+	s.until[address] = now + skipPeriod
 }
 
-// take tells whether an address is to be avoided. Once its time is over the first
-// who asks may try it.
-func (a *avoided) take(address string, now timekeeper.Millis) bool {
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	until, ok := a.until[address]
+// shouldSkip reports whether address is to be skipped. Once its skip period has
+// expired, it returns false for one call and starts another period.
+func (s *unreachableSet) shouldSkip(address string, now timekeeper.Millis) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	until, ok := s.until[address]
 	if !ok {
 		return false
 	}
 	if now < until {
 		return true
 	}
-	a.until[address] = now + avoidFor
+	s.until[address] = now + skipPeriod
 	return false
 }
 
-// has tells whether an address was not reached lately.
-func (a *avoided) has(address string, now timekeeper.Millis) bool {
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	return now < a.until[address]
+// contains reports whether address was unreachable recently.
+func (s *unreachableSet) contains(address string, now timekeeper.Millis) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return now < s.until[address]
 }
 
-// order returns addresses with those that are avoided last.
-func (a *avoided) order(addresses []string, now timekeeper.Millis) []string {
+// reachableFirst returns addresses in order, with those in the set moved to the end.
+func (s *unreachableSet) reachableFirst(addresses []string, now timekeeper.Millis) []string {
 	var first, last []string
 	for _, x := range addresses {
-		if a.has(x, now) {
+		if s.contains(x, now) {
 			last = append(last, x)
 			continue
 		}
@@ -68,8 +69,8 @@
 	return append(first, last...)
 }
 
-// isDial tells whether a connection was not made.
-func isDial(err error) bool {
+// isDialError reports whether err is a failure to connect.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
