--- a/pkg/sharer/split.go
+++ b/pkg/sharer/split.go
@@ -7,24 +7,25 @@
 	"github.com/gullvale/gullvale/pkg/hasher"
 )
 
-// Whole is the share that stands for everything.
+// Whole is the share of the entire key space.
 const Whole Share = 1 << 20
 
 type (
-	// Share is a fraction in fixed point: Whole is 1.
+	// Share is a fraction in fixed point, in units of 1/Whole.
 	Share uint32
 
-	// Part gives one site its share.
+	// Part is the share of a site.
 	Part struct {
 		Site  string
 		Share Share
 	}
 
-	// Division is a set of parts in order of site whose shares add to Whole.
+	// Division is a traffic split: parts ordered by site whose shares add up to
+	// Whole.
 	Division []Part
 
-	// Chooser maps keys to the sites of a division. Build it with NewChooser;
-	// the zero value knows no site.
+	// Chooser maps keys to the sites of a traffic split. It is created by
+	// NewChooser; the zero value has no sites.
 	Chooser struct {
 		sites    []string
 		hashes   []hasher.Hash
@@ -32,17 +33,17 @@
 	}
 )
 
-// Fraction returns s as a number from 0 to 1.
+// Fraction returns s as a fraction from 0 to 1.
 func (s Share) Fraction() float64 {
 	return float64(s) / float64(Whole)
 }
 
-// FromFraction rounds f, clamped to 0 and 1, to a share.
+// FromFraction clamps f to the range from 0 to 1 and rounds it to a share.
 func FromFraction(f float64) Share {
 	return Share(min(max(f, 0), 1)*float64(Whole) + 0.5)
 }
 
-// Of returns the share of site, 0 when it has none.
+// Of returns the share of site, or 0 if it has none.
 func (d Division) Of(site string) Share {
 	for _, p := range d {
 		if p.Site == site {
@@ -52,7 +53,7 @@
 	return 0
 }
 
-// Total adds the shares of d.
+// Total returns the sum of the shares of d.
 func (d Division) Total() Share {
 	var t Share
 	for _, p := range d {
@@ -61,9 +62,9 @@
 	return t
 }
 
-// Proportional divides Whole by weights, which need not add to anything. The
-// remainder of rounding goes to the largest part, so the total is exact. It
-// returns nil when no weight is positive.
+// Proportional splits Whole in proportion to weights, which need not be
+// normalised. The rounding remainder goes to the largest part, so the total is
+// exact. It returns nil if no weight is positive.
 func Proportional[S ~string](weights map[S]float64) Division {
 	var sum float64
 	for _, w := range weights {
@@ -79,29 +80,29 @@
 		}
 	}
 	d.sort()
-	d.settle()
+	d.assignRemainder()
 	return d
 }
 
-// Distance returns the share that differs between d and e: the part of all
-// keys that must move to get from one to the other.
+// Distance returns the share that differs between d and e, which is the fraction
+// of keys that must move to get from one to the other.
 func (d Division) Distance(e Division) Share {
-	var up Share
+	var moved Share
 	for _, p := range e {
 		if o := d.Of(p.Site); p.Share > o {
-			up += p.Share - o
+			moved += p.Share - o
 		}
 	}
-	return up
+	return moved
 }
 
-// Toward returns d moved towards target by at most step.
+// Toward returns a traffic split that is closer to target than d by at most step.
 func (d Division) Toward(target Division, step Share) Division {
-	far := d.Distance(target)
-	if far <= step {
+	distance := d.Distance(target)
+	if distance <= step {
 		return slices.Clone(target)
 	}
-	f := float64(step) / float64(far)
+	f := float64(step) / float64(distance)
 	w := map[string]Share{}
 	for _, p := range d {
 		w[p.Site] = p.Share
@@ -118,7 +119,7 @@
 	}
 	out = slices.DeleteFunc(out, func(p Part) bool { return p.Share == 0 })
 	out.sort()
-	out.settle()
+	out.assignRemainder()
 	return out
 }
 
@@ -126,8 +127,8 @@
 	slices.SortFunc(d, func(a, b Part) int { return strings.Compare(a.Site, b.Site) })
 }
 
-// settle gives the remainder of rounding down to the largest part.
-func (d Division) settle() {
+// assignRemainder adds the remainder of rounding down to the largest part.
+func (d Division) assignRemainder() {
 	if len(d) == 0 {
 		return
 	}
@@ -140,7 +141,7 @@
 	d[largest].Share += Whole - d.Total()
 }
 
-// NewChooser prepares d for look-ups.
+// NewChooser returns a Chooser for d.
 func NewChooser(d Division) Chooser {
 	var c Chooser
 	for _, p := range d {
@@ -154,8 +155,8 @@
 	return c
 }
 
-// Choose returns the site of key, or "" when the division is empty. It does
-// not allocate.
+// Choose returns the site of key, or "" if there are no sites. It does not
+// allocate.
 func (c *Chooser) Choose(key hasher.Hash) string {
 	i := c.Index(key)
 	if i < 0 {
@@ -164,22 +165,22 @@
 	return c.sites[i]
 }
 
-// Index returns the place in Sites of the site of key, -1 when there is none.
+// Index returns the index in Sites of the site of key, or -1 if there are no sites.
 func (c *Chooser) Index(key hasher.Hash) int {
 	if len(c.sites) <= 1 {
 		return len(c.sites) - 1
 	}
 	best := 0
-	near := hasher.Distance(key, c.hashes[0], c.inverses[0])
+	nearest := hasher.Distance(key, c.hashes[0], c.inverses[0])
 	for i := 1; i < len(c.sites); i++ {
-		if d := hasher.Distance(key, c.hashes[i], c.inverses[i]); d < near {
-			best, near = i, d
+		if d := hasher.Distance(key, c.hashes[i], c.inverses[i]); d < nearest {
+			best, nearest = i, d
 		}
 	}
 	return best
 }
 
-// Sites returns the sites with a share, in order.
+// Sites returns the sites with a positive share, in order.
 func (c *Chooser) Sites() []string {
 	return c.sites
 }
--- a/pkg/sharer/split_test.go
+++ b/pkg/sharer/split_test.go
@@ -11,7 +11,7 @@
 	"github.com/gullvale/gullvale/pkg/sharer"
 )
 
-func drawDivision(t *rapid.T, label string) sharer.Division {
+func drawSplit(t *rapid.T, label string) sharer.Division {
 	n := rapid.IntRange(1, 8).Draw(t, label+" sites")
 	w := map[string]float64{}
 	for i := range n {
@@ -22,29 +22,29 @@
 
 func TestDivisionsStayWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := drawDivision(t, "a"), drawDivision(t, "b")
+		a, b := drawSplit(t, "a"), drawSplit(t, "b")
 		step := sharer.Share(rapid.IntRange(1, int(sharer.Whole)).Draw(t, "step"))
 		c := a.Toward(b, step)
 		if c.Total() != sharer.Whole || a.Total() != sharer.Whole {
 			t.Fatalf("total %d", c.Total())
 		}
-		// Rounding moves a few units of fixed point more at the most.
+		// Rounding may move a few more units of fixed point.
 		const rounding = 16
 		if d := a.Distance(c); d > step+rounding {
 			t.Fatalf("moved %d, allowed %d", d, step)
 		}
 		if a.Distance(b) <= step && c.Distance(b) != 0 {
-			t.Fatal("not there although the step was long enough")
+			t.Fatal("target not reached although it was within one step")
 		}
 		if c.Distance(b) > a.Distance(b) {
-			t.Fatal("moved away")
+			t.Fatal("moved away from the target")
 		}
 	})
 }
 
-// TestMovesOnlyWhatMoves moves a share from one site to another and back. Keys
-// of third sites stay but for the few that the weights of the two exchange, and
-// all keys come back.
+// TestMovesOnlyWhatMoves moves a share from one site to another and back. Keys of
+// other sites must stay, except for the few affected by the changed weights, and all
+// keys must return.
 func TestMovesOnlyWhatMoves(t *testing.T) {
 	is := is.New(t)
 	const keys = 100000
@@ -70,7 +70,8 @@
 	is.True(counts["b"] > keys*48/100 && counts["b"] < keys*52/100)
 }
 
-// TestHashesArePinned keeps the choices that daemons of all versions share.
+// TestHashesArePinned guards against changed hashes, on which daemons of all versions
+// must agree.
 func TestHashesArePinned(t *testing.T) {
 	is := is.New(t)
 	is.Equal(hasher.Mix(1, 2), hasher.Hash(5964141978005197109))
@@ -80,10 +81,9 @@
 	is.Equal(hasher.Best(1, nil), -1)
 }
 
-// BenchmarkMoved tells how many keys change their site, as a multiple of those
-// that must, when an eighth of all goes from the first of six sites to the last:
-// by weighted rendezvous, and by the cumulative shares that the design began
-// with.
+// BenchmarkMoved reports the number of keys that change their site, relative to the
+// necessary minimum, when an eighth of all keys moves from the first of six sites to
+// the last. It compares weighted rendezvous hashing with cumulative shares.
 func BenchmarkMoved(b *testing.B) {
 	before := sharer.Division{}
 	for i := range 6 {
