--- a/pkg/recorder/doc.go
+++ b/pkg/recorder/doc.go
@@ -1,8 +1,9 @@
 // Package recorder keeps an append-only log of numbered changes in the
 // platform's object store.
 //
-// Creating the object of the next number is the commit: of two racing changes
-// the store lets one through. A lost answer is settled by the change's own id,
-// so a change is recorded exactly once or its author is told that nobody knows
-// yet. Snapshots bound what a fresh reader must fetch.
+// A change is committed by creating the object of the next number: of two
+// concurrent changes only one can create it. After a lost response the author
+// recognises its change by the change's ID, so a change is recorded exactly once
+// or its result is reported as unknown. Snapshots limit how many changes a new
+// reader must fetch.
 package recorder
--- a/pkg/recorder/example_test.go
+++ b/pkg/recorder/example_test.go
@@ -18,7 +18,7 @@
 	ctx := context.Background()
 	for _, dish := range []string{`"soup"`, `"fish"`} {
 		c := recorder.Change{ID: recorder.ChangeID(dish), Who: "anna", Body: json.RawMessage(dish)}
-		// Whatever came before does not stand in the way.
+		// No earlier change conflicts with c.
 		_, err := l.Append(ctx, c, 0, func(recorder.Change) error { return nil })
 		if err != nil {
 			fmt.Println(err)
--- a/pkg/recorder/log.go
+++ b/pkg/recorder/log.go
@@ -16,57 +16,60 @@
 )
 
 const (
-	changePart = "Change/"
+	changeSegment = "Change/"
 
-	// SnapshotName is the name of the snapshot object behind the prefix.
+	// SnapshotName is the name of the snapshot object without the prefix.
 	SnapshotName = "Snapshot"
 
-	// pageSize is how many changes one call fetches.
+	// pageSize is the number of changes fetched by one call.
 	pageSize = 500
 
-	// numberDigits keeps names in the order of numbers.
+	// numberDigits is the width to which numbers are padded in object names, so
+	// that names sort by number.
 	numberDigits = 12
 
-	// SnapshotEvery is how many changes pass between two snapshots.
+	// SnapshotEvery is the number of changes between two snapshots.
 	SnapshotEvery Number = 200
 )
 
 type (
-	// Number is the place of a change in the log, from 1 without gaps.
+	// Number is the position of a change in the log, from 1 without gaps.
 	Number uint64
 
-	// ChangeID names a change before it has a number. Its author picks it at
-	// random and repeats it in every try.
+	// ChangeID identifies a change before it has a number. Its author chooses it
+	// at random and uses it for every attempt.
 	ChangeID string
 
-	// Change is one record of the log.
+	// Change is a record of the log.
 	Change struct {
 		Number Number
 		ID     ChangeID
-		// Who made the change, From where, at what wall time, and Why.
+		// Who is the author of the change, From its origin, AtMillis its wall time
+		// and Why the reason.
 		Who      string
 		From     string
 		AtMillis timekeeper.Millis
 		Why      string
-		// Undoes is the number of the change that this one takes back.
+		// Undoes is the number of the change that this one reverts.
 		Undoes Number
-		// Body is what the change does, in the owner's own format.
+		// Body is the content of the change. Its format is defined by the user of
+		// the log.
 		Body json.RawMessage
 	}
 
-	// Snapshot is the state after the change with its number.
+	// Snapshot is the state after the change with the given number.
 	Snapshot struct {
 		Number Number
 		Body   json.RawMessage
 	}
 
-	// ConflictError says which earlier change stands in the way.
+	// ConflictError reports an earlier change that conflicts with the new one.
 	ConflictError struct {
 		Theirs Change
 	}
 
-	// Log is a log under one prefix of names. Store and Prefix must be set.
-	// It holds no state and is safe for concurrent use.
+	// Log is a log whose object names share a prefix. Store and Prefix must be
+	// set. It holds no state and is safe for concurrent use.
 	Log struct {
 		Store *storer.Client
 		// Prefix ends with "/", such as "Settings/".
@@ -74,15 +77,15 @@
 	}
 )
 
-// Error tells who made the change that came first, when, and its number.
+// Error implements error.
 func (e *ConflictError) Error() string {
 	t := e.Theirs
-	return fmt.Sprintf("change %d by %s at %s came first", t.Number, t.Who, t.AtMillis.Time().Format("15:04:05"))
+	return fmt.Sprintf("conflicts with change %d by %s at %s", t.Number, t.Who, t.AtMillis.Time().Format("15:04:05"))
 }
 
-// ChangePrefix is what the names of the change objects start with.
+// ChangePrefix returns the name prefix of change objects.
 func (l *Log) ChangePrefix() string {
-	return l.Prefix + changePart
+	return l.Prefix + changeSegment
 }
 
 // Name returns the name of the change object with number n.
@@ -90,7 +93,8 @@
 	return l.ChangePrefix() + pad(n)
 }
 
-// NumberOf returns the number in the name of a change object.
+// NumberOf returns the number in the name of a change object, and whether name is
+// such a name.
 func (l *Log) NumberOf(name string) (Number, bool) {
 	s, ok := strings.CutPrefix(name, l.ChangePrefix())
 	if !ok {
@@ -100,11 +104,11 @@
 	return Number(n), err == nil
 }
 
-// Decode reads a change object.
+// Decode decodes a change object.
 func (l *Log) Decode(o storer.Object) (Change, error) {
 	var c Change
 	if err := json.Unmarshal(o.Body, &c); err != nil {
-		return c, eris.Wrapf(err, "change object %s", o.Name)
+		return c, eris.Wrapf(err, "decode change object %s", o.Name)
 	}
 	n, ok := l.NumberOf(o.Name)
 	if !ok || n != c.Number {
@@ -113,7 +117,7 @@
 	return c, nil
 }
 
-// Read returns the changes behind after in order.
+// Read returns the changes with numbers above after, in order.
 func (l *Log) Read(ctx context.Context, after Number) ([]Change, error) {
 	var all []Change
 	for {
@@ -127,7 +131,7 @@
 				return all, err
 			}
 			if c.Number != after+1 {
-				return all, eris.Errorf("log %s: change %d follows %d", l.Prefix, c.Number, after)
+				return all, eris.Errorf("log %s: change %d follows change %d", l.Prefix, c.Number, after)
 			}
 			all = append(all, c)
 			after = c.Number
@@ -138,16 +142,16 @@
 	}
 }
 
-// Append commits c as the first number behind base for which no other change
-// stands in the way. For each change found there rebase is asked whether c
-// still holds behind it; its error ends the try. A change with the same id
-// found there is c itself, committed by an earlier try.
+// Append commits c under the first free number after base. It calls rebase for each
+// change already committed there, to check whether c is still valid after it, and
+// returns the error of rebase if it is not. A committed change with the same ID is
+// c itself, from an earlier attempt.
 //
-// The error is storer.ErrUnknown when ctx ended before the truth was known.
+// The error is storer.ErrUnknown if ctx is done while the result is still unknown.
 func (l *Log) Append(ctx context.Context, c Change, base Number, rebase func(theirs Change) error) (Change, error) {
 	c.Number = base + 1
 	for {
-		done, theirs, err := l.try(ctx, c)
+		done, theirs, err := l.commit(ctx, c)
 		if err != nil {
 			return c, err
 		}
@@ -164,23 +168,24 @@
 	}
 }
 
-// try creates the object of c, and repeats while the outcome is unknown. A
-// repeat cannot commit twice: both tries create the same name.
-func (l *Log) try(ctx context.Context, c Change) (bool, Change, error) {
+// commit creates the object of c and retries while the result is unknown. A retry
+// cannot commit c twice, since both attempts create an object of the same name. If
+// another change has the number, commit returns false and that change.
+func (l *Log) commit(ctx context.Context, c Change) (bool, Change, error) {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return false, c, eris.Wrap(err, "encode change")
 	}
-	var maybe bool
+	var mayExist bool
 	theirs, err := backoff.Retry(ctx, func() (*Change, error) {
 		_, err := l.Store.Create(ctx, l.Name(c.Number), body)
 		switch {
 		case err == nil:
 			return nil, nil
 		case errors.Is(err, storer.ErrConflict):
-			return l.get(ctx, c.Number)
+			return l.readChange(ctx, c.Number)
 		case errors.Is(err, storer.ErrUnknown):
-			maybe = true
+			mayExist = true
 			return nil, err
 		case errors.Is(err, storer.ErrUnreachable):
 			return nil, err
@@ -188,7 +193,7 @@
 		return nil, backoff.Permanent(err)
 	}, backoff.WithMaxElapsedTime(0))
 	if err != nil {
-		return false, c, l.finalError(maybe, err)
+		return false, c, l.finalError(mayExist, err)
 	}
 	if theirs == nil {
 		return true, c, nil
@@ -196,10 +201,10 @@
 	return false, *theirs, nil
 }
 
-// finalError keeps "unknown" when any try may have taken effect, whatever the
-// last one said.
-func (l *Log) finalError(maybe bool, err error) error {
-	if maybe {
+// finalError returns the error of a failed commit. It is storer.ErrUnknown if any
+// attempt may have taken effect, whatever the error of the last one.
+func (l *Log) finalError(mayExist bool, err error) error {
+	if mayExist {
 		return eris.Wrapf(storer.ErrUnknown, "%v", err)
 	}
 	if errors.Is(err, storer.ErrRefused) {
@@ -208,7 +213,7 @@
 	return eris.Wrapf(storer.ErrUnreachable, "%v", err)
 }
 
-func (l *Log) get(ctx context.Context, n Number) (*Change, error) {
+func (l *Log) readChange(ctx context.Context, n Number) (*Change, error) {
 	o, err := l.Store.Get(ctx, l.Name(n))
 	if err != nil {
 		return nil, err
@@ -220,7 +225,7 @@
 	return &c, nil
 }
 
-// LoadSnapshot returns the newest snapshot, or number 0 when there is none.
+// LoadSnapshot returns the latest snapshot, or the zero Snapshot if there is none.
 func (l *Log) LoadSnapshot(ctx context.Context) (Snapshot, error) {
 	o, err := l.Store.Get(ctx, l.Prefix+SnapshotName)
 	if errors.Is(err, storer.ErrNotFound) {
@@ -232,16 +237,16 @@
 	return DecodeSnapshot(o)
 }
 
-// DecodeSnapshot reads a snapshot object.
+// DecodeSnapshot decodes a snapshot object.
 func DecodeSnapshot(o storer.Object) (Snapshot, error) {
 	var s Snapshot
 	if err := json.Unmarshal(o.Body, &s); err != nil {
-		return Snapshot{}, eris.Wrapf(err, "snapshot object %s", o.Name)
+		return Snapshot{}, eris.Wrapf(err, "decode snapshot object %s", o.Name)
 	}
 	return s, nil
 }
 
-// SaveSnapshot stores s unless a newer one is there.
+// SaveSnapshot stores s unless the stored snapshot is as new or newer.
 func (l *Log) SaveSnapshot(ctx context.Context, s Snapshot) error {
 	body, err := json.Marshal(s)
 	if err != nil {
--- a/pkg/recorder/log_test.go
+++ b/pkg/recorder/log_test.go
@@ -29,10 +29,10 @@
 	return recorder.Change{ID: recorder.ChangeID(id), Who: "anna", Body: json.RawMessage(`{}`)}
 }
 
-func agree(recorder.Change) error { return nil }
+func acceptAll(recorder.Change) error { return nil }
 
-// TestRacingWritersKeepOrder has many writers append at once, all of which
-// accept what came before. No number is skipped or used twice.
+// TestRacingWritersKeepOrder runs concurrent writers that accept all earlier changes.
+// No number may be skipped or used twice.
 func TestRacingWritersKeepOrder(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -44,7 +44,7 @@
 		go func() {
 			defer done.Done()
 			for n := range 5 {
-				_, err := l.Append(ctx, change(fmt.Sprintf("%d-%d", w, n)), 0, agree)
+				_, err := l.Append(ctx, change(fmt.Sprintf("%d-%d", w, n)), 0, acceptAll)
 				if err != nil {
 					t.Error(err)
 				}
@@ -67,7 +67,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	l, _ := newLog(t)
-	_, err := l.Append(ctx, change("first"), 0, agree)
+	_, err := l.Append(ctx, change("first"), 0, acceptAll)
 	is.NoErr(err)
 	_, err = l.Append(ctx, change("second"), 0, func(theirs recorder.Change) error {
 		return &recorder.ConflictError{Theirs: theirs}
@@ -77,34 +77,36 @@
 	is.Equal(conflict.Theirs.ID, recorder.ChangeID("first"))
 }
 
-// TestSameIDIsOneChange repeats a change whose author lost the answer.
+// TestSameIDIsOneChange guards against a change that is recorded twice because its
+// author retried it after a lost response.
 func TestSameIDIsOneChange(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	l, _ := newLog(t)
-	a, err := l.Append(ctx, change("mine"), 0, agree)
+	a, err := l.Append(ctx, change("mine"), 0, acceptAll)
 	is.NoErr(err)
-	b, err := l.Append(ctx, change("mine"), 0, agree)
+	b, err := l.Append(ctx, change("mine"), 0, acceptAll)
 	is.NoErr(err)
 	is.Equal(a.Number, b.Number)
 }
 
-// TestUnknownStaysUnknown ends the try while the platform is silent: before any
-// write could arrive the change was not made, after one nobody knows.
+// TestUnknownStaysUnknown checks the error of an append that times out: the change was
+// not made if the platform was down, and the result is unknown if a write may have
+// arrived.
 func TestUnknownStaysUnknown(t *testing.T) {
 	is := is.New(t)
 	l, p := newLog(t)
 	p.SetFaults(platform.Faults{Down: true})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	_, err := l.Append(ctx, change("x"), 0, agree)
+	_, err := l.Append(ctx, change("x"), 0, acceptAll)
 	is.True(errors.Is(err, storer.ErrUnreachable))
 
 	p.SetFaults(platform.Faults{LoseAnswers: 1 << 30})
 	ctx, cancel = context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	l.Store.Timeout = 20
-	_, err = l.Append(ctx, change("x"), 7, agree)
+	_, err = l.Append(ctx, change("x"), 7, acceptAll)
 	is.True(errors.Is(err, storer.ErrUnknown))
 }
 
