--- a/pkg/packer/doc.go
+++ b/pkg/packer/doc.go
@@ -1,4 +1,4 @@
-// Package packer turns values into the bodies of objects and back. Bodies are
-// JSON, compressed by gzip once they are long: plans, rosters and summaries say the
-// same names over and over, and all daemons receive them.
+// Package packer encodes values as object bodies and decodes them. Bodies are JSON,
+// compressed with gzip if they are long: plans, rosters and summaries contain many
+// repeated names, and all daemons receive them.
 package packer
--- a/pkg/packer/pack.go
+++ b/pkg/packer/pack.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	// plainBytes is up to which length a body stays plain, so that short ones
-	// can be read by people.
-	plainBytes = 512
+	// maxPlainBytes is the length up to which a body is not compressed, so that
+	// short bodies stay readable.
+	maxPlainBytes = 512
 
-	// MaxBytes bounds a body once it is unpacked.
+	// MaxBytes is the maximum length of a decompressed body.
 	MaxBytes = 16 << 20
 )
 
-// gzipMagic begins every compressed body, and no JSON.
+// gzipMagic is the prefix of every compressed body. No JSON text starts with it.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// ErrTooLong reports a body that unpacks to more than MaxBytes.
-var ErrTooLong = eris.New("body too long once unpacked")
+// ErrTooLong reports a body that decompresses to more than MaxBytes.
+var ErrTooLong = eris.New("decompressed body too long")
 
-// writers holds gzip writers: each takes most of a megabyte.
-var writers = sync.Pool{New: func() any { return gzip.NewWriter(io.Discard) }}
+// gzipWriters pools gzip writers, each of which takes most of a megabyte.
+var gzipWriters = sync.Pool{New: func() any { return gzip.NewWriter(io.Discard) }}
 
-// Pack returns the body that stands for v.
+// Pack encodes v as a body.
 func Pack(v any) ([]byte, error) {
 	plain, err := json.Marshal(v)
 	if err != nil {
 		return nil, eris.Wrap(err, "pack")
 	}
-	if len(plain) <= plainBytes {
+	if len(plain) <= maxPlainBytes {
 		return plain, nil
 	}
 	var b bytes.Buffer
-	w := writers.Get().(*gzip.Writer)
-	defer writers.Put(w)
+	w := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(w)
 	w.Reset(&b)
 	if _, err := w.Write(plain); err != nil {
 		return nil, eris.Wrap(err, "pack")
@@ -50,7 +50,7 @@
 	return b.Bytes(), nil
 }
 
-// Unpack reads a body into v. Bodies that were never compressed are read too.
+// Unpack decodes a body, compressed or not, into v.
 func Unpack(body []byte, v any) error {
 	plain, err := Plain(body)
 	if err != nil {
@@ -59,7 +59,8 @@
 	return eris.Wrap(json.Unmarshal(plain, v), "unpack")
 }
 
-// Plain returns the JSON of a body.
+// Plain returns the JSON text of a body, decompressed if necessary. The result may
+// share memory with body.
 func Plain(body []byte) ([]byte, error) {
 	if !bytes.HasPrefix(body, gzipMagic) {
 		return body, nil
--- a/pkg/packer/pack_test.go
+++ b/pkg/packer/pack_test.go
@@ -49,7 +49,7 @@
 	is.True(packer.Unpack(nil, &v) != nil)
 }
 
-// FuzzUnpack reads anything without a panic and within the bound.
+// FuzzUnpack checks that no input makes Plain panic or decompress beyond MaxBytes.
 func FuzzUnpack(f *testing.F) {
 	long, err := packer.Pack(strings.Repeat("erie/a", 500))
 	if err != nil {
@@ -61,7 +61,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		p, err := packer.Plain(b)
 		if err == nil && len(p) > packer.MaxBytes && !bytes.Equal(p, b) {
-			t.Fatalf("%d bytes", len(p))
+			t.Fatalf("decompressed to %d bytes, more than MaxBytes", len(p))
 		}
 	})
 }
