--- a/pkg/lister/list.go
+++ b/pkg/lister/list.go
@@ -6,33 +6,33 @@
 	"github.com/rotisserie/eris"
 )
 
-// Prefix and ObjectName are where the platform keeps the list.
+// Names of the platform's list object and of its prefix.
 const (
 	Prefix     = "VMs/"
 	ObjectName = Prefix + "List"
 )
 
 type (
-	// VM is one VM by the platform's account.
+	// VM is a VM as listed by the platform.
 	VM struct {
-		// Address is its IP number.
+		// Address is the IP address of the VM.
 		Address string
 		Leaving bool
 	}
 
-	// List is all VMs.
+	// List is the list of all VMs.
 	List struct {
 		VMs []VM
 	}
 )
 
-// Decode reads the list object.
+// Decode decodes the body of the list object.
 func Decode(body []byte) (List, error) {
 	var l List
-	return l, eris.Wrap(json.Unmarshal(body, &l), "list of VMs")
+	return l, eris.Wrap(json.Unmarshal(body, &l), "decode list of VMs")
 }
 
-// Leaving returns the addresses of the VMs that leave.
+// Leaving returns the set of addresses of the leaving VMs.
 func (l List) Leaving() map[string]bool {
 	out := map[string]bool{}
 	for _, v := range l.VMs {
