--- a/pkg/timekeeper/clock.go
+++ b/pkg/timekeeper/clock.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// Common lengths of time.
+// Common durations.
 const (
 	Second Millis = 1000
 	Minute        = 60 * Second
 	Hour          = 60 * Minute
 )
 
-// processStart anchors the monotonic reading. Its absolute value has no
-// meaning: only differences between readings of one process do.
+// processStart is the origin of monotonic readings. Only differences between
+// readings of the same process are meaningful.
 var processStart = time.Now()
 
 type (
-	// Millis is a length of time, or a reading of a clock, in milliseconds.
+	// Millis is a duration or a clock reading in milliseconds.
 	Millis int64
 
-	// Clock reads time. The zero value reads the clocks of the system.
+	// Clock reads the time. The zero value uses the system clocks.
 	Clock struct {
-		// Monotonic returns a reading that never goes back and ignores steps
-		// of the wall clock. Leases and time-outs rest on it alone.
+		// Monotonic returns a reading that never decreases and is not affected by
+		// steps of the wall clock. Leases and timeouts use only this clock.
 		Monotonic func() Millis
-		// Wall returns milliseconds since the Unix epoch. It is for people
-		// and for settings that name a time of day.
+		// Wall returns milliseconds since the Unix epoch. It is used for display
+		// and for settings with a time of day.
 		Wall func() Millis
 	}
 )
 
-// Duration converts m for the standard library.
+// Duration converts m to a time.Duration.
 func (m Millis) Duration() time.Duration {
 	return time.Duration(m) * time.Millisecond
 }
 
-// String prints m as a duration, such as "1.5s".
+// String formats m as a duration, such as "1.5s".
 func (m Millis) String() string {
 	return m.Duration().String()
 }
 
-// FromDuration converts d, rounding up so that a positive wait stays positive.
+// FromDuration converts d to Millis. It rounds up, so that a positive duration
+// stays positive.
 func FromDuration(d time.Duration) Millis {
 	return Millis((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-// Now returns the monotonic reading.
+// Now returns the monotonic clock reading.
 func (c Clock) Now() Millis {
 	if c.Monotonic != nil {
 		return c.Monotonic()
@@ -51,7 +52,7 @@
 	return Millis(time.Since(processStart) / time.Millisecond)
 }
 
-// WallNow returns the wall reading.
+// WallNow returns the wall clock reading.
 func (c Clock) WallNow() Millis {
 	if c.Wall != nil {
 		return c.Wall()
@@ -59,7 +60,7 @@
 	return Millis(time.Now().UnixMilli())
 }
 
-// Time converts a wall reading to UTC.
+// Time converts a wall clock reading to a time in UTC.
 func (m Millis) Time() time.Time {
 	return time.UnixMilli(int64(m)).UTC()
 }
--- a/pkg/timekeeper/doc.go
+++ b/pkg/timekeeper/doc.go
@@ -1,6 +1,6 @@
-// Package timekeeper is the project's clock: whole milliseconds, read from a
-// monotonic source for decisions and from the wall clock for display only.
+// Package timekeeper provides clocks with millisecond resolution: a monotonic one
+// for decisions and a wall clock mainly for display.
 //
-// Every part that depends on time takes a Clock by value, so a test replaces
-// the source of time without replacing the part.
+// Components that depend on time take a Clock by value, so that a test can replace
+// the time source.
 package timekeeper
--- a/pkg/timekeeper/every.go
+++ b/pkg/timekeeper/every.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Every calls f at each interval until ctx ends. A call that takes longer delays
-// the next; calls that were missed are not made up for.
+// Every calls f once per interval until ctx is done. A call that takes longer delays
+// the next one; missed calls are not made up.
 func Every(ctx context.Context, interval time.Duration, f func()) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
