--- a/pkg/hasher/doc.go
+++ b/pkg/hasher/doc.go
@@ -1,7 +1,6 @@
-// Package hasher holds the hashes by which many processes reach the same
-// choice without asking each other: rendezvous hashing over a set of names.
+// Package hasher implements rendezvous hashing over a set of names, by which
+// processes make the same choice without communication.
 //
-// The value of every function here is part of the protocol between daemons.
-// Changing one moves ownership and client blocks, so the package's tests pin
-// the results.
+// The results of all functions are part of the protocol between daemons. A changed
+// result moves ownership and client blocks, so the results are pinned by tests.
 package hasher
