--- a/pkg/storer/client.go
+++ b/pkg/storer/client.go
@@ -65,8 +65,8 @@
 		Objects  []Object
 	}
 
-	// CallCounters counts the calls of a client and the bytes transferred.
-	CallCounters struct {
+	// Calls counts the calls of a client and the bytes transferred.
+	Calls struct {
 		Reads   atomic.Uint64
 		Writes  atomic.Uint64
 		Watches atomic.Uint64
@@ -90,12 +90,12 @@
 		// platform may be dead as well. It may be nil.
 		TimedOut func()
 
-		calls CallCounters
+		calls Calls
 	}
 )
 
 // Calls returns the call counters of c.
-func (c *Client) Calls() *CallCounters {
+func (c *Client) Calls() *Calls {
 	return &c.calls
 }
 
@@ -209,14 +209,14 @@
 // by the timeout, since it depends on the length and the bandwidth. For a status that is
 // not a success, Call returns both the body and an error.
 func (c *Client) Call(q *http.Request, timeout timekeeper.Millis) (*http.Response, []byte, error) {
-	ctx, progress := c.withProgressTimer(q.Context(), timeout)
-	defer progress.stop()
+	ctx, progressTimer := c.progressTimer(q.Context(), timeout)
+	defer progressTimer.stop()
 	var wrote atomic.Bool
 	q = q.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { wrote.Store(true) }}))
 	idle := cmp.Or(c.IdleTimeout, defaultIdleTimeout).Duration()
 	if q.ContentLength > maxUnmonitoredBytes {
 		// Bytes that were read from the body may still be in the connection's buffers.
-		q.Body = monitoredBody{q.Body, progress, timeout.Duration() + idle}
+		q.Body = monitoredBody{q.Body, progressTimer, timeout.Duration() + idle}
 	}
 	do := c.Do
 	if do == nil {
@@ -230,7 +230,7 @@
 		return nil, nil, c.requestError(q, err, 0)
 	}
 	defer p.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(monitoredBody{p.Body, progress, idle}, maxResponseBytes))
+	body, err := io.ReadAll(io.LimitReader(monitoredBody{p.Body, progressTimer, idle}, maxResponseBytes))
 	c.calls.Bytes.Add(uint64(len(body)) + uint64(max(q.ContentLength, 0)))
 	if err != nil {
 		return nil, nil, c.requestError(q, err, len(body))
--- a/pkg/storer/progress.go
+++ b/pkg/storer/progress.go
@@ -39,9 +39,9 @@
 	latest   time.Time
 }
 
-// withProgressTimer returns a context that is cancelled with DeadlineExceeded as its cause
+// progressTimer returns a context that is cancelled with DeadlineExceeded as its cause
 // when the call makes no progress for too long.
-func (c *Client) withProgressTimer(ctx context.Context, timeout timekeeper.Millis) (context.Context, *progressTimer) {
+func (c *Client) progressTimer(ctx context.Context, timeout timekeeper.Millis) (context.Context, *progressTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	deadline := time.Now().Add(timeout.Duration())
 	p := &progressTimer{
@@ -80,15 +80,15 @@
 // monitoredBody is a body that extends the deadline of progress by idle on each read.
 type monitoredBody struct {
 	io.ReadCloser
-	progress *progressTimer
-	idle     time.Duration
+	progressTimer *progressTimer
+	idle          time.Duration
 }
 
 // Read implements io.Reader.
 func (w monitoredBody) Read(b []byte) (int, error) {
 	n, err := w.ReadCloser.Read(b)
 	if n > 0 {
-		w.progress.extend(w.idle)
+		w.progressTimer.extend(w.idle)
 	}
 	return n, err
 }
