--- a/pkg/finder/finder.go
+++ b/pkg/finder/finder.go
@@ -59,11 +59,11 @@
 		HTTP  *http.Client
 		Clock timekeeper.Clock
 
-		lock        sync.Mutex
-		cache       map[lookupKey]*cachedLookup
-		unreachable unreachableSet
-		next        atomic.Uint64
-		lookups     atomic.Uint64
+		lock         sync.Mutex
+		cache        map[lookupKey]*cachedLookup
+		dialFailures dialFailures
+		next         atomic.Uint64
+		lookups      atomic.Uint64
 	}
 
 	// Request is a request of a caller. Body is held in memory, so that the
@@ -152,7 +152,7 @@
 	if a != nil && now < a.expires {
 		return a.lookup, nil
 	}
-	l, err := f.lookup(ctx, k, a)
+	l, err := f.lookupAny(ctx, k, a)
 	if err != nil {
 		return Lookup{}, err
 	}
@@ -165,9 +165,9 @@
 	return l, nil
 }
 
-// lookup sends a lookup to the entries of the last result and then to the seeds,
+// lookupAny sends a lookup to the entries of the last result and then to the seeds,
 // until one succeeds.
-func (f *Finder) lookup(ctx context.Context, k lookupKey, last *cachedLookup) (Lookup, error) {
+func (f *Finder) lookupAny(ctx context.Context, k lookupKey, last *cachedLookup) (Lookup, error) {
 	var addresses []string
 	if last != nil {
 		for _, e := range last.lookup.Entries {
@@ -179,7 +179,7 @@
 		addresses = append(addresses, f.Seeds[(start+i)%len(f.Seeds)])
 	}
 	err := ErrNoEntry
-	for _, a := range f.unreachable.reachableFirst(addresses, f.Clock.Now()) {
+	for _, a := range f.dialFailures.reachableFirst(addresses, f.Clock.Now()) {
 		var l Lookup
 		if l, err = f.lookupAt(ctx, a, k); err == nil {
 			return l, nil
@@ -204,7 +204,7 @@
 		return Lookup{}, err
 	}
 	p, err := f.client().Do(q)
-	f.unreachable.record(address, err, f.Clock.Now())
+	f.dialFailures.record(address, err, f.Clock.Now())
 	if err != nil {
 		return Lookup{}, err
 	}
--- a/pkg/finder/send.go
+++ b/pkg/finder/send.go
@@ -65,15 +65,15 @@
 	if r.Deadline > 0 {
 		s.deadline = f.Clock.Now() + r.Deadline
 	}
-	for n := 1; n <= maxAttempts; n++ {
+	for attempt := 1; attempt <= maxAttempts; attempt++ {
 		l, err := f.Find(ctx, r.Service, r.Block)
-		if err != nil && n == 1 {
+		if err != nil && attempt == 1 {
 			return Response{Outcome: NotRun, Reason: err.Error()}, err
 		}
 		if err != nil || len(l.Entries) == 0 {
 			break
 		}
-		f.attempt(ctx, &s, f.chooseEntry(l.Entries, n), n)
+		f.attempt(ctx, &s, f.chooseEntry(l.Entries, attempt), attempt)
 		if !f.shouldRetry(r, s.last, s.deadline) {
 			break
 		}
@@ -105,7 +105,7 @@
 	now := f.Clock.Now()
 	for i := range all {
 		e := all[(n-1+i)%len(all)]
-		if !f.unreachable.shouldSkip(e.Address, now) {
+		if !f.dialFailures.shouldSkip(e.Address, now) {
 			return e
 		}
 	}
@@ -172,7 +172,7 @@
 		q.Header.Set(headerFirstAttempt, "1")
 	}
 	a, err := doWithTimeout(client, q, f.responseTimeout(deadline))
-	f.unreachable.record(e.Address, err, f.Clock.Now())
+	f.dialFailures.record(e.Address, err, f.Clock.Now())
 	if err != nil {
 		return Response{Outcome: p.outcome(), Reason: err.Error()}
 	}
--- a/pkg/finder/unreachable.go
+++ b/pkg/finder/unreachable.go
@@ -12,55 +12,55 @@
 // After that, one request per period probes whether it is reachable again.
 const skipPeriod = 3 * timekeeper.Second
 
-// unreachableSet holds the addresses that were unreachable recently. The zero value
+// dialFailures holds the addresses that were unreachable recently. The zero value
 // is ready to use.
-type unreachableSet struct {
+type dialFailures struct {
 	lock  sync.Mutex
 	until map[string]timekeeper.Millis
 }
 
 // record updates the set with the result of a request to address.
-func (s *unreachableSet) record(address string, err error, now timekeeper.Millis) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
+func (d *dialFailures) record(address string, err error, now timekeeper.Millis) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
 	if !isDialError(err) {
-		delete(s.until, address)
+		delete(d.until, address)
 		return
 	}
-	if s.until == nil {
-		s.until = map[string]timekeeper.Millis{}
+	if d.until == nil {
+		d.until = map[string]timekeeper.Millis{}
 	}
-	s.until[address] = now + skipPeriod
+	d.until[address] = now + skipPeriod
 }
 
 // shouldSkip reports whether address is to be skipped. Once its skip period has
 // expired, it returns false for one call and starts another period.
-func (s *unreachableSet) shouldSkip(address string, now timekeeper.Millis) bool {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	until, ok := s.until[address]
+func (d *dialFailures) shouldSkip(address string, now timekeeper.Millis) bool {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	until, ok := d.until[address]
 	if !ok {
 		return false
 	}
 	if now < until {
 		return true
 	}
-	s.until[address] = now + skipPeriod
+	d.until[address] = now + skipPeriod
 	return false
 }
 
 // contains reports whether address was unreachable recently.
-func (s *unreachableSet) contains(address string, now timekeeper.Millis) bool {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	return now < s.until[address]
+func (d *dialFailures) contains(address string, now timekeeper.Millis) bool {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	return now < d.until[address]
 }
 
 // reachableFirst returns addresses in order, with those in the set moved to the end.
-func (s *unreachableSet) reachableFirst(addresses []string, now timekeeper.Millis) []string {
+func (d *dialFailures) reachableFirst(addresses []string, now timekeeper.Millis) []string {
 	var first, last []string
 	for _, x := range addresses {
-		if s.contains(x, now) {
+		if d.contains(x, now) {
 			last = append(last, x)
 			continue
 		}
