--- a/pkg/finder/doc.go
+++ b/pkg/finder/doc.go
@@ -4,7 +4,7 @@
 //
 // The outcome of a request is answered, not run or unknown. A request is retried
 // within the caller's deadline, on another entry, if it did not run or if it may
-// safely be repeated. Methods that are not idempotent carry an Idempotency-Key
-// that names the first entry as its home. After a lost response such a request
-// can be retried safely with the same key through any entry.
+// safely run again. A request whose method is not idempotent carries an
+// Idempotency-Key that names the first entry as its home. After a lost response
+// it can be retried safely with the same key through any entry.
 package finder
--- a/pkg/leaser/lease.go
+++ b/pkg/leaser/lease.go
@@ -122,8 +122,9 @@
 	return l.term() / renewalsPerTerm
 }
 
-// Broken returns the number of fence regressions. Each one means that a process
-// that did not hold the lease has written the object.
+// Broken returns how often the lease was read with a lower fence than before, or
+// with the same fence and another holder. Either means that a process wrote the
+// object without holding the lease.
 func (l *Lease) Broken() uint64 {
 	return l.fenceRegressions.Load()
 }
--- a/pkg/registrar/roster.go
+++ b/pkg/registrar/roster.go
@@ -59,7 +59,7 @@
 		Fence   leaser.Fence
 		Version uint64
 		Members []Member
-		// Past lists the members that were removed within History.
+		// Members that were removed within History.
 		Past []Past `json:",omitempty"`
 	}
 
--- a/pkg/sharer/split.go
+++ b/pkg/sharer/split.go
@@ -20,7 +20,7 @@
 		Share Share
 	}
 
-	// Division is a traffic split: parts ordered by site whose shares add up to
+	// Division lists the shares of all sites, ordered by site. They add up to
 	// Whole.
 	Division []Part
 
