--- a/pkg/storer/client.go
+++ b/pkg/storer/client.go
@@ -38,7 +38,7 @@
 // Errors returned by calls, to be tested with errors.Is.
 var (
 	ErrNotFound    = eris.New("object not found")
-	ErrConflict    = eris.New("object has a different revision")
+	ErrConflict    = eris.New("object has another revision")
 	ErrUnknown     = eris.New("response lost: the write may have taken effect")
 	ErrUnreachable = eris.New("platform unreachable")
 	ErrRefused     = eris.New("platform refused the call")
