--- a/internal/standin/caller/load.go
+++ b/internal/standin/caller/load.go
@@ -20,14 +20,14 @@
 
 const (
 	// histogram bounds, in microseconds, and its precision.
-	lowestMicros  = 1
-	highestMicros = 3600 * 1000 * 1000
-	digits        = 3
+	lowestMicros      = 1
+	highestMicros     = 3600 * 1000 * 1000
+	significantDigits = 3
 
-	bodyBytes = 256
+	postBodyBytes = 256
 
-	// maxComeBacks is how often a caller that was refused comes back.
-	maxComeBacks = 3
+	// maxRetries is how often a caller that was refused comes back.
+	maxRetries = 3
 )
 
 type (
@@ -55,14 +55,14 @@
 
 	// Load drives streams and keeps the accounts. The zero value is ready.
 	Load struct {
-		// OnAnswer is told of every answer. Nil means nobody wants to know.
-		OnAnswer func(s *Stream, latency time.Duration, p finder.Response)
+		// OnResponse is told of every answer. Nil means nobody wants to know.
+		OnResponse func(s *Stream, latency time.Duration, p finder.Response)
 
-		lock    sync.Mutex
-		classes map[string]*Account
-		tokens  map[string]tokenState
-		active  sync.WaitGroup
-		running atomic.Int64
+		lock     sync.Mutex
+		accounts map[string]*Account
+		tokens   map[string]tokenState
+		active   sync.WaitGroup
+		running  atomic.Int64
 	}
 
 	// Account is what came of the requests of one class.
@@ -76,9 +76,9 @@
 		// than are due.
 		Cut   uint64
 		Wrong uint64
-		// ComeBacks counts tries after a refusal that named a time.
-		ComeBacks uint64
-		Latency   *hdrhistogram.Histogram
+		// Retries counts tries after a refusal that named a time.
+		Retries uint64
+		Latency *hdrhistogram.Histogram
 		// Reasons counts why requests were not answered.
 		Reasons map[string]uint64
 	}
@@ -102,8 +102,8 @@
 	}
 )
 
-// Broken tells whether any promise was broken.
-func (v Verdict) Broken() bool {
+// Violated tells whether any promise was broken.
+func (v Verdict) Violated() bool {
 	return v.Lost+v.Doubled+v.NotRunRan > 0 || v.Cut+v.Wrong > 0
 }
 
@@ -155,12 +155,12 @@
 	defer l.active.Done()
 	defer l.running.Add(-1)
 	began := time.Now()
-	r := request(s, token, post, block)
+	r := newRequest(s, token, post, block)
 	f := s.Finder(block)
 	ctx := context.Background()
 	backs := 0
 	p, err := f.Send(ctx, r)
-	for err == nil && p.Outcome == finder.NotRun && p.RetryAfter > 0 && backs < maxComeBacks {
+	for err == nil && p.Outcome == finder.NotRun && p.RetryAfter > 0 && backs < maxRetries {
 		backs++
 		finder.Wait(ctx, p)
 		p, err = f.Send(ctx, r)
@@ -168,15 +168,15 @@
 	if err != nil {
 		p.Outcome = finder.NotRun
 	}
-	broken := verify(p, token, r.Body, s.Bytes)
+	broken := verifyResponse(p, token, r.Body, s.Bytes)
 	latency := time.Since(began)
-	l.note(s, token, post, p, broken, latency, backs)
-	if l.OnAnswer != nil {
-		l.OnAnswer(s, latency, p)
+	l.record(s, token, post, p, broken, latency, backs)
+	if l.OnResponse != nil {
+		l.OnResponse(s, latency, p)
 	}
 }
 
-func request(s *Stream, token string, post bool, block string) finder.Request {
+func newRequest(s *Stream, token string, post bool, block string) finder.Request {
 	r := finder.Request{
 		Service:  s.Service,
 		Block:    block,
@@ -186,16 +186,16 @@
 	}
 	if post {
 		r.Method = http.MethodPost
-		r.Body = make([]byte, bodyBytes)
+		r.Body = make([]byte, postBodyBytes)
 		copy(r.Body, token)
 	}
 	return r
 }
 
-// errCut marks an answer that broke off.
-var errCut = errors.New("cut")
+// errTruncated marks an answer that broke off.
+var errTruncated = errors.New("cut")
 
-func verify(p finder.Response, token string, body []byte, length int64) error {
+func verifyResponse(p finder.Response, token string, body []byte, length int64) error {
 	if p.Body == nil {
 		return nil
 	}
@@ -205,18 +205,18 @@
 	}
 	_, err := payload.Verify(p.Body, payload.New(token, body, length))
 	var ne net.Error
-	if err != nil && (errors.As(err, &ne) || isCut(err)) {
-		return errCut
+	if err != nil && (errors.As(err, &ne) || isTruncated(err)) {
+		return errTruncated
 	}
 	return err
 }
 
-func (l *Load) note(s *Stream, token string, post bool, p finder.Response, broken error, latency time.Duration, backs int) {
+func (l *Load) record(s *Stream, token string, post bool, p finder.Response, broken error, latency time.Duration, backs int) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	a := l.account(s.Class)
 	a.Requests++
-	a.ComeBacks += uint64(backs)
+	a.Retries += uint64(backs)
 	if l.tokens == nil {
 		l.tokens = map[string]tokenState{}
 	}
@@ -234,7 +234,7 @@
 		a.Reasons[p.Outcome.String()+": "+p.Reason]++
 	}
 	switch {
-	case errors.Is(broken, errCut):
+	case errors.Is(broken, errTruncated):
 		a.Cut++
 	case broken != nil:
 		a.Wrong++
@@ -243,17 +243,17 @@
 }
 
 func (l *Load) account(class string) *Account {
-	if l.classes == nil {
-		l.classes = map[string]*Account{}
+	if l.accounts == nil {
+		l.accounts = map[string]*Account{}
 	}
-	a := l.classes[class]
+	a := l.accounts[class]
 	if a == nil {
 		a = &Account{
 			Class:   class,
-			Latency: hdrhistogram.New(lowestMicros, highestMicros, digits),
+			Latency: hdrhistogram.New(lowestMicros, highestMicros, significantDigits),
 			Reasons: map[string]uint64{},
 		}
-		l.classes[class] = a
+		l.accounts[class] = a
 	}
 	return a
 }
@@ -263,7 +263,7 @@
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	var out []Account
-	for _, a := range l.classes {
+	for _, a := range l.accounts {
 		b := *a
 		b.Latency = hdrhistogram.Import(a.Latency.Export())
 		out = append(out, b)
@@ -271,8 +271,8 @@
 	return out
 }
 
-// Judge compares the accounts with the journals of all upstreams.
-func (l *Load) Judge(journals []map[string]int) Verdict {
+// CheckJournals compares the accounts with the journals of all upstreams.
+func (l *Load) CheckJournals(journals []map[string]int) Verdict {
 	ran := map[string]int{}
 	for _, j := range journals {
 		for t, n := range j {
@@ -294,7 +294,7 @@
 			v.NotRunRan++
 		}
 	}
-	for _, a := range l.classes {
+	for _, a := range l.accounts {
 		v.Cut += a.Cut
 		v.Wrong += a.Wrong
 	}
--- a/internal/standin/caller/cut.go
+++ b/internal/standin/caller/truncated.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// isCut tells whether an error while an answer was read means that the answer
+// isTruncated tells whether an error while an answer was read means that the answer
 // broke off, as opposed to one with other bytes than are due.
-func isCut(err error) bool {
+func isTruncated(err error) bool {
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
 		return true
 	}
--- a/internal/standin/delayer/conn.go
+++ b/internal/standin/delayer/conn.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// lineBytes is how much may be under way in one direction, as on a line
+	// maxInFlightBytes is how much may be under way in one direction, as on a line
 	// of 350 ms and 1.5 MB/s, or 35 ms and 15 MB/s.
-	lineBytes = 1 << 19
+	maxInFlightBytes = 1 << 19
 
-	pieceBytes = 32 << 10
+	chunkBytes = 32 << 10
 )
 
 type (
-	// line is one direction: bytes that become due.
-	line struct {
+	// pipe is one direction: bytes that become due.
+	pipe struct {
 		delay time.Duration
 
-		lock   sync.Mutex
-		wake   *sync.Cond
-		pieces []piece
-		held   int
-		err    error
-		until  time.Time
-		timer  *time.Timer
+		lock     sync.Mutex
+		changed  *sync.Cond
+		chunks   []chunk
+		buffered int
+		err      error
+		deadline time.Time
+		timer    *time.Timer
 	}
 
-	piece struct {
+	chunk struct {
 		bytes []byte
 		due   time.Time
 	}
@@ -38,8 +38,8 @@
 	// conn is a connection with a line in each direction.
 	conn struct {
 		net.Conn
-		in  *line
-		out *line
+		in  *pipe
+		out *pipe
 	}
 )
 
@@ -48,90 +48,90 @@
 	if delay <= 0 {
 		return c
 	}
-	d := &conn{Conn: c, in: newLine(delay), out: newLine(delay)}
+	d := &conn{Conn: c, in: newPipe(delay), out: newPipe(delay)}
 	go d.runIn()
 	go d.runOut()
 	return d
 }
 
-func newLine(delay time.Duration) *line {
-	l := &line{delay: delay}
-	l.wake = sync.NewCond(&l.lock)
+func newPipe(delay time.Duration) *pipe {
+	l := &pipe{delay: delay}
+	l.changed = sync.NewCond(&l.lock)
 	return l
 }
 
-// put adds bytes that arrive after the delay. It waits while the line is full.
-func (l *line) put(b []byte) error {
+// enqueue adds bytes that arrive after the delay. It waits while the line is full.
+func (l *pipe) enqueue(b []byte) error {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	for l.held >= lineBytes && l.err == nil {
-		l.wake.Wait()
+	for l.buffered >= maxInFlightBytes && l.err == nil {
+		l.changed.Wait()
 	}
 	if l.err != nil {
 		return l.err
 	}
-	l.pieces = append(l.pieces, piece{append([]byte(nil), b...), time.Now().Add(l.delay)})
-	l.held += len(b)
-	l.wake.Broadcast()
+	l.chunks = append(l.chunks, chunk{append([]byte(nil), b...), time.Now().Add(l.delay)})
+	l.buffered += len(b)
+	l.changed.Broadcast()
 	return nil
 }
 
-// end lets readers have what is under way and then err.
-func (l *line) end(err error) {
+// closeWith lets readers have what is under way and then err.
+func (l *pipe) closeWith(err error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.err == nil {
 		l.err = err
 	}
-	l.wake.Broadcast()
+	l.changed.Broadcast()
 }
 
-// take reads bytes that are due.
-func (l *line) take(b []byte) (int, error) {
+// dequeue reads bytes that are due.
+func (l *pipe) dequeue(b []byte) (int, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	for {
-		if !l.until.IsZero() && !time.Now().Before(l.until) {
+		if !l.deadline.IsZero() && !time.Now().Before(l.deadline) {
 			return 0, os.ErrDeadlineExceeded
 		}
-		if len(l.pieces) == 0 && l.err != nil {
+		if len(l.chunks) == 0 && l.err != nil {
 			return 0, l.err
 		}
-		if len(l.pieces) > 0 {
-			wait := time.Until(l.pieces[0].due)
+		if len(l.chunks) > 0 {
+			wait := time.Until(l.chunks[0].due)
 			if wait <= 0 {
-				return l.first(b), nil
+				return l.readFirst(b), nil
 			}
 			l.wakeAfter(wait)
 		}
-		l.wake.Wait()
+		l.changed.Wait()
 	}
 }
 
-func (l *line) first(b []byte) int {
-	p := &l.pieces[0]
+func (l *pipe) readFirst(b []byte) int {
+	p := &l.chunks[0]
 	n := copy(b, p.bytes)
 	p.bytes = p.bytes[n:]
-	l.held -= n
+	l.buffered -= n
 	if len(p.bytes) == 0 {
-		l.pieces = l.pieces[1:]
+		l.chunks = l.chunks[1:]
 	}
-	l.wake.Broadcast()
+	l.changed.Broadcast()
 	return n
 }
 
-func (l *line) wakeAfter(d time.Duration) {
+func (l *pipe) wakeAfter(d time.Duration) {
 	time.AfterFunc(d, func() {
 		l.lock.Lock()
 		defer l.lock.Unlock()
-		l.wake.Broadcast()
+		l.changed.Broadcast()
 	})
 }
 
-func (l *line) setDeadline(t time.Time) {
+func (l *pipe) setDeadline(t time.Time) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.until = t
+	l.deadline = t
 	if l.timer != nil {
 		l.timer.Stop()
 	}
@@ -139,33 +139,33 @@
 		l.timer = time.AfterFunc(time.Until(t), func() {
 			l.lock.Lock()
 			defer l.lock.Unlock()
-			l.wake.Broadcast()
+			l.changed.Broadcast()
 		})
 	}
-	l.wake.Broadcast()
+	l.changed.Broadcast()
 }
 
 func (c *conn) runIn() {
-	b := make([]byte, pieceBytes)
+	b := make([]byte, chunkBytes)
 	for {
 		n, err := c.Conn.Read(b)
-		if n > 0 && c.in.put(b[:n]) != nil {
+		if n > 0 && c.in.enqueue(b[:n]) != nil {
 			return
 		}
 		if err != nil {
-			c.in.end(err)
+			c.in.closeWith(err)
 			return
 		}
 	}
 }
 
 func (c *conn) runOut() {
-	b := make([]byte, pieceBytes)
+	b := make([]byte, chunkBytes)
 	for {
-		n, err := c.out.take(b)
+		n, err := c.out.dequeue(b)
 		if n > 0 {
 			if _, err := c.Conn.Write(b[:n]); err != nil {
-				c.out.end(err)
+				c.out.closeWith(err)
 				return
 			}
 		}
@@ -177,11 +177,11 @@
 }
 
 // Read reads what has arrived.
-func (c *conn) Read(b []byte) (int, error) { return c.in.take(b) }
+func (c *conn) Read(b []byte) (int, error) { return c.in.dequeue(b) }
 
 // Write sends bytes on their way.
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.out.put(b); err != nil {
+	if err := c.out.enqueue(b); err != nil {
 		return 0, err
 	}
 	return len(b), nil
@@ -189,8 +189,8 @@
 
 // Close ends the connection once what is under way has arrived.
 func (c *conn) Close() error {
-	c.in.end(net.ErrClosed)
-	c.out.end(io.EOF)
+	c.in.closeWith(net.ErrClosed)
+	c.out.closeWith(io.EOF)
 	return nil
 }
 
--- a/internal/standin/demonstrator/demo.go
+++ b/internal/standin/demonstrator/demo.go
@@ -24,11 +24,11 @@
 	drainAt   = 0.45
 	undrainAt = 0.80
 
-	// shiftPart is the part of the run in which the shift may move all of its
+	// shiftFraction is the part of the run in which the shift may move all of its
 	// share; the cap follows from it.
-	shiftPart = 0.25
+	shiftFraction = 0.25
 
-	watchPace = 20 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
 )
 
 type (
@@ -44,22 +44,22 @@
 		Out io.Writer
 	}
 
-	// run is one demo under way.
-	run struct {
-		options Options
-		shape   shape
-		fleet   *fleet
-		load    *caller.Load
-		usage   *usage
-		report  Report
-		began   time.Time
-		lock    sync.Mutex
+	// demoRun is one demo under way.
+	demoRun struct {
+		options    Options
+		deployment deployment
+		fleet      *fleet
+		load       *caller.Load
+		usage      *usage
+		report     Report
+		began      time.Time
+		lock       sync.Mutex
 	}
 )
 
 // Run runs a demo and reports on it.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	s, err := shapeOf(o.Shape)
+	s, err := deploymentByName(o.Shape)
 	if err != nil {
 		return nil, err
 	}
@@ -68,13 +68,13 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &run{options: o, shape: s, fleet: f, load: &caller.Load{}, usage: newUsage(f)}
+	r := &demoRun{options: o, deployment: s, fleet: f, load: &caller.Load{}, usage: newUsage(f)}
 	r.began = time.Now()
-	r.say("%s: %d daemons, %d upstreams, load %.0f%% of slots", s.name, len(f.daemons), len(f.servers), 100*o.Load)
+	r.logf("%s: %d daemons, %d upstreams, load %.0f%% of slots", s.name, len(f.daemons), len(f.servers), 100*o.Load)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go r.usage.loop(ctx)
-	if err := r.drive(ctx); err != nil {
+	if err := r.runLoad(ctx); err != nil {
 		return nil, err
 	}
 	r.load.Wait()
@@ -83,12 +83,12 @@
 	return &r.report, nil
 }
 
-func (r *run) say(format string, args ...any) {
+func (r *demoRun) logf(format string, args ...any) {
 	fmt.Fprintf(r.options.Out, "%5.1fs  %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// drive runs the load and the operators beside it.
-func (r *run) drive(ctx context.Context) error {
+// runLoad runs the load and the operators beside it.
+func (r *demoRun) runLoad(ctx context.Context) error {
 	loadCtx, cancel := context.WithTimeout(ctx, r.options.Length)
 	defer cancel()
 	var streams sync.WaitGroup
@@ -96,32 +96,32 @@
 		streams.Add(1)
 		go r.runStream(loadCtx, s, &streams)
 	}
-	err := r.steer(loadCtx)
+	err := r.operate(loadCtx)
 	streams.Wait()
 	return err
 }
 
-func (r *run) runStream(ctx context.Context, s caller.Stream, done *sync.WaitGroup) {
+func (r *demoRun) runStream(ctx context.Context, s caller.Stream, done *sync.WaitGroup) {
 	defer done.Done()
 	r.load.Run(ctx, s)
 }
 
 // streams is the load of each service from each site's blocks. Answers count
 // in the classes of their service.
-func (r *run) streams() []caller.Stream {
+func (r *demoRun) streams() []caller.Stream {
 	finders := r.fleet.finders()
 	var out []caller.Stream
-	sites := r.shape.sites()
-	for _, v := range r.shape.services {
+	sites := r.deployment.sites()
+	for _, v := range r.deployment.services {
 		for n, site := range sites {
 			f := finders[site.Region()]
 			out = append(out, caller.Stream{
 				Class:    string(v.name),
 				Service:  string(v.name),
-				Rate:     v.rate(r.options.Load) / float64(len(sites)),
-				PostPart: v.postPart,
+				Rate:     v.requestRate(r.options.Load) / float64(len(sites)),
+				PostPart: v.postFraction,
 				Bytes:    v.bytes,
-				Blocks:   blocksOf(n),
+				Blocks:   clientBlocks(n),
 				Finder:   func(string) *finder.Finder { return f },
 				Seed:     r.options.Seed*1000 + uint64(len(out)),
 			})
@@ -130,33 +130,33 @@
 	return out
 }
 
-// steer does what operators do: a shift with a cap, a drain, its end.
-func (r *run) steer(ctx context.Context) error {
-	if err := r.at(ctx, shiftAt); err != nil {
+// operate does what operators do: a shift with a cap, a drain, its end.
+func (r *demoRun) operate(ctx context.Context) error {
+	if err := r.waitUntil(ctx, shiftAt); err != nil {
 		return err
 	}
-	if err := r.shift(ctx); err != nil {
+	if err := r.shiftTraffic(ctx); err != nil {
 		return err
 	}
-	if err := r.at(ctx, drainAt); err != nil {
+	if err := r.waitUntil(ctx, drainAt); err != nil {
 		return err
 	}
-	if err := r.drain(ctx); err != nil {
+	if err := r.drainDomain(ctx); err != nil {
 		return err
 	}
-	if err := r.at(ctx, undrainAt); err != nil {
+	if err := r.waitUntil(ctx, undrainAt); err != nil {
 		return err
 	}
-	p := r.shape.drain.String()
+	p := r.deployment.drain.String()
 	took, err := r.fleet.operator().set(ctx, resolver.Edit{Path: p, Key: resolver.KeyDrain, Unset: true})
 	if err != nil {
 		return err
 	}
-	r.say("undrain %s: in force on all after %d ms", p, took.Milliseconds())
+	r.logf("undrain %s: in force on all after %d ms", p, took.Milliseconds())
 	return nil
 }
 
-func (r *run) at(ctx context.Context, part float64) error {
+func (r *demoRun) waitUntil(ctx context.Context, part float64) error {
 	due := r.began.Add(time.Duration(part * float64(r.options.Length)))
 	select {
 	case <-ctx.Done():
@@ -166,55 +166,55 @@
 	}
 }
 
-// shift moves a part of the first service's traffic and watches the plan keep
+// shiftTraffic moves a part of the first service's traffic and watches the plan keep
 // the cap.
-func (r *run) shift(ctx context.Context) error {
-	service := r.shape.services[0].name
-	path := resolver.Path{Region: r.shape.shiftFrom, Service: service}.String()
-	perMinute := shiftShare / (shiftPart * r.options.Length.Minutes())
+func (r *demoRun) shiftTraffic(ctx context.Context) error {
+	service := r.deployment.services[0].name
+	path := resolver.Path{Region: r.deployment.shiftFrom, Service: service}.String()
+	perMinute := shiftShare / (shiftFraction * r.options.Length.Minutes())
 	took, err := r.fleet.operator().set(ctx,
-		resolver.Edit{Path: path, Key: resolver.KeyShiftTo, Value: resolver.Value(r.shape.shiftTo)},
+		resolver.Edit{Path: path, Key: resolver.KeyShiftTo, Value: resolver.Value(r.deployment.shiftTo)},
 		resolver.Edit{Path: path, Key: resolver.KeyShiftShare, Value: resolver.Value(fmt.Sprintf("%g%%", 100*shiftShare))},
 		resolver.Edit{Path: path, Key: resolver.KeyShiftCap, Value: resolver.Value(fmt.Sprintf("%.4g%%/min", 100*perMinute))},
 	)
 	if err != nil {
 		return err
 	}
-	r.say("shift %s %s → %s %.0f%% at most %.0f%%/min: in force on all after %d ms",
-		service, r.shape.shiftFrom, r.shape.shiftTo, 100*shiftShare, 100*perMinute, took.Milliseconds())
+	r.logf("shift %s %s → %s %.0f%% at most %.0f%%/min: in force on all after %d ms",
+		service, r.deployment.shiftFrom, r.deployment.shiftTo, 100*shiftShare, 100*perMinute, took.Milliseconds())
 	r.report.ShiftCapPerMinute = perMinute
 	go r.runShiftWatch(ctx)
 	return nil
 }
 
 // runShiftWatch follows the share that has moved.
-func (r *run) runShiftWatch(ctx context.Context) {
+func (r *demoRun) runShiftWatch(ctx context.Context) {
 	began := time.Now()
 	for ctx.Err() == nil {
 		s := r.fleet.daemons[0].Status(ctx)
 		if len(s.Shifts) > 0 {
 			have := s.Shifts[0].Have
 			r.lock.Lock()
-			r.report.noteShift(s.PlanMillis, have)
+			r.report.recordShift(s.PlanMillis, have)
 			r.lock.Unlock()
 			if have >= shiftShare-0.001 {
-				r.say("shift done after %.1f s", time.Since(began).Seconds())
+				r.logf("shift done after %.1f s", time.Since(began).Seconds())
 				return
 			}
 		}
-		time.Sleep(5 * watchPace)
+		time.Sleep(5 * pollInterval)
 	}
 }
 
-// drain drains a failure domain and times it until nothing runs there.
-func (r *run) drain(ctx context.Context) error {
-	p := r.shape.drain
+// drainDomain drains a failure domain and times it until nothing runs there.
+func (r *demoRun) drainDomain(ctx context.Context) error {
+	p := r.deployment.drain
 	began := time.Now()
 	took, err := r.fleet.operator().set(ctx, resolver.Edit{Path: p.String(), Key: resolver.KeyDrain, Value: "true"})
 	if err != nil {
 		return err
 	}
-	r.say("drain %s: in force on all after %d ms", p, took.Milliseconds())
+	r.logf("drain %s: in force on all after %d ms", p, took.Milliseconds())
 	// Empty is what stays empty: late callers may still come.
 	const quiet = time.Second
 	last := time.Now()
@@ -227,9 +227,9 @@
 			return fmt.Errorf("drain of %s did not end, %d requests run there, the plan waits for %v", p,
 				r.fleet.busyAt(resolver.SiteOf(p)), s.Holds)
 		}
-		time.Sleep(watchPace)
+		time.Sleep(pollInterval)
 	}
 	r.report.Drain = last.Sub(began)
-	r.say("drain done: nothing runs there after %.1f s", r.report.Drain.Seconds())
+	r.logf("drain done: nothing runs there after %.1f s", r.report.Drain.Seconds())
 	return nil
 }
--- a/internal/standin/demonstrator/fleet.go
+++ b/internal/standin/demonstrator/fleet.go
@@ -29,24 +29,24 @@
 )
 
 const (
-	demoToken = "demo"
-	tableName = "demo"
-	loopback  = "127.0.0.1:0"
+	demoToken      = "demo"
+	blockTableName = "demo"
+	loopback       = "127.0.0.1:0"
 
-	readyWait = 30 * time.Second
-	readyPace = 50 * time.Millisecond
+	readyTimeout      = 30 * time.Second
+	readyPollInterval = 50 * time.Millisecond
 )
 
 type (
 	// fleet is a running deployment.
 	fleet struct {
-		shape    shape
-		log      *logrus.Logger
-		platform *platform.Server
-		address  string
-		servers  []*upstream
-		daemons  []*runner.Daemon
-		closers  []func()
+		deployment deployment
+		log        *logrus.Logger
+		platform   *platform.Server
+		address    string
+		servers    []*upstream
+		daemons    []*runner.Daemon
+		closers    []func()
 
 		lock  sync.RWMutex
 		sites map[string]registrar.Site
@@ -61,12 +61,12 @@
 )
 
 // startFleet starts everything and waits until the settings are in force.
-func startFleet(ctx context.Context, s shape) (*fleet, error) {
+func startFleet(ctx context.Context, s deployment) (*fleet, error) {
 	f := &fleet{
-		shape:    s,
-		log:      logger.New(io.Discard, logrus.ErrorLevel),
-		platform: &platform.Server{},
-		sites:    map[string]registrar.Site{},
+		deployment: s,
+		log:        logger.New(io.Discard, logrus.ErrorLevel),
+		platform:   &platform.Server{},
+		sites:      map[string]registrar.Site{},
 	}
 	address, err := f.serve(&http.Server{Handler: f.platform})
 	if err != nil {
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	return f, f.settle(ctx)
+	return f, f.applySettings(ctx)
 }
 
 func (f *fleet) serve(s *http.Server) (string, error) {
@@ -105,8 +105,8 @@
 
 // startServers spreads the servers of each service over the sites evenly.
 func (f *fleet) startServers() error {
-	sites := f.shape.sites()
-	for _, v := range f.shape.services {
+	sites := f.deployment.sites()
+	for _, v := range f.deployment.services {
 		for n := range v.servers {
 			u := &upstream{
 				Server: &server.Server{
@@ -134,12 +134,12 @@
 
 func (f *fleet) saveBlocks(ctx context.Context) error {
 	var b strings.Builder
-	for n, site := range f.shape.sites() {
-		for _, block := range blocksOf(n) {
+	for n, site := range f.deployment.sites() {
+		for _, block := range clientBlocks(n) {
 			fmt.Fprintf(&b, "%s/24 %s\n", block, site)
 		}
 	}
-	_, err := locator.Save(ctx, &storer.Client{Address: f.address}, tableName, strings.NewReader(b.String()))
+	_, err := locator.Save(ctx, &storer.Client{Address: f.address}, blockTableName, strings.NewReader(b.String()))
 	return err
 }
 
@@ -179,7 +179,7 @@
 // linkDial connects a daemon at a site to others with the delay of the line.
 func (f *fleet) linkDial(from registrar.Site) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
-		return dialDelayed(ctx, address, f.shape.delay(from, f.siteOf(address)))
+		return dialDelayed(ctx, address, f.deployment.delay(from, f.siteOf(address)))
 	}
 }
 
@@ -201,29 +201,29 @@
 		seeds = append(seeds, d.Self().Callers)
 	}
 	out := map[string]*finder.Finder{}
-	for _, site := range f.shape.sites() {
+	for _, site := range f.deployment.sites() {
 		region := site.Region()
 		if out[region] != nil {
 			continue
 		}
 		dial := func(ctx context.Context, _, address string) (net.Conn, error) {
-			return dialDelayed(ctx, address, f.shape.clientDelayTo(region, f.siteOf(address)))
+			return dialDelayed(ctx, address, f.deployment.clientDelayTo(region, f.siteOf(address)))
 		}
 		out[region] = &finder.Finder{Seeds: seeds, HTTP: caller.NewClient(dial)}
 	}
 	return out
 }
 
-// tree is the settings of the deployment.
-func (f *fleet) tree() string {
+// settings is the settings of the deployment.
+func (f *fleet) settings() string {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "BlockTable = %q\n", tableName)
-	for _, v := range f.shape.services {
+	fmt.Fprintf(&b, "BlockTable = %q\n", blockTableName)
+	for _, v := range f.deployment.services {
 		fmt.Fprintf(&b, "[Service.%s]\nSlots = %d\nClass = %q\nRefusalHeader = %q\nDrainHeader = %q\n",
 			v.name, v.slots, v.class, server.HeaderNotRun, server.HeaderDraining)
 	}
-	for _, site := range f.shape.sites() {
-		for _, v := range f.shape.services {
+	for _, site := range f.deployment.sites() {
+		for _, v := range f.deployment.services {
 			var list []string
 			for _, u := range f.servers {
 				if u.site == site && u.service == v.name {
@@ -237,8 +237,8 @@
 	return b.String()
 }
 
-// settle puts the settings in force and waits until all slots are owned.
-func (f *fleet) settle(ctx context.Context) error {
+// applySettings puts the settings in force and waits until all slots are owned.
+func (f *fleet) applySettings(ctx context.Context) error {
 	o := f.operator()
 	if err := f.await(ctx, "daemons are up", func() bool {
 		s, err := o.status(ctx)
@@ -246,11 +246,11 @@
 	}); err != nil {
 		return err
 	}
-	if _, err := o.change(ctx, operator.ChangeRequest{TOML: f.tree(), File: "demo"}); err != nil {
+	if _, err := o.change(ctx, operator.ChangeRequest{TOML: f.settings(), File: "demo"}); err != nil {
 		return err
 	}
 	total := 0
-	for _, v := range f.shape.services {
+	for _, v := range f.deployment.services {
 		total += v.servers * v.slots
 	}
 	return f.await(ctx, "all slots are owned", func() bool {
@@ -269,15 +269,15 @@
 }
 
 func (f *fleet) await(ctx context.Context, what string, done func() bool) error {
-	end := time.Now().Add(readyWait)
+	end := time.Now().Add(readyTimeout)
 	for !done() {
 		if time.Now().After(end) {
-			return fmt.Errorf("not ready after %s: %s", readyWait, what)
+			return fmt.Errorf("not ready after %s: %s", readyTimeout, what)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(readyPace):
+		case <-time.After(readyPollInterval):
 		}
 	}
 	return nil
--- a/internal/standin/demonstrator/operator.go
+++ b/internal/standin/demonstrator/operator.go
@@ -15,15 +15,15 @@
 )
 
 // person is an operator at the listener of one daemon.
-type person struct {
+type operatorClient struct {
 	address string
 }
 
-func (f *fleet) operator() person {
-	return person{address: f.daemons[0].Self().Operators}
+func (f *fleet) operator() operatorClient {
+	return operatorClient{address: f.daemons[0].Self().Operators}
 }
 
-func (p person) call(ctx context.Context, method, path string, body, answer any) error {
+func (p operatorClient) call(ctx context.Context, method, path string, body, answer any) error {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -48,19 +48,19 @@
 	return json.Unmarshal(data, answer)
 }
 
-func (p person) status(ctx context.Context) (operator.Status, error) {
+func (p operatorClient) status(ctx context.Context) (operator.Status, error) {
 	var s operator.Status
 	return s, p.call(ctx, http.MethodGet, operator.PathStatus, nil, &s)
 }
 
-func (p person) change(ctx context.Context, q operator.ChangeRequest) (recorder.Number, error) {
+func (p operatorClient) change(ctx context.Context, q operator.ChangeRequest) (recorder.Number, error) {
 	var a operator.ChangeAnswer
 	return a.Number, p.call(ctx, http.MethodPost, operator.PathChange, q, &a)
 }
 
 // set changes settings and returns how long it took until they were in force on
 // all daemons.
-func (p person) set(ctx context.Context, edits ...resolver.Edit) (time.Duration, error) {
+func (p operatorClient) set(ctx context.Context, edits ...resolver.Edit) (time.Duration, error) {
 	began := time.Now()
 	n, err := p.change(ctx, operator.ChangeRequest{Edits: edits})
 	if err != nil {
@@ -75,6 +75,6 @@
 		if a.InForce == a.Members {
 			return time.Since(began), nil
 		}
-		time.Sleep(readyPace / 5)
+		time.Sleep(readyPollInterval / 5)
 	}
 }
--- a/internal/standin/demonstrator/report.go
+++ b/internal/standin/demonstrator/report.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// window is over how long the use of slots is averaged for its peak.
-	window = time.Second
+	// usageWindow is over how long the use of slots is averaged for its peak.
+	usageWindow = time.Second
 
 	microsPerMilli = 1000
 
-	// capSlack allows for the time between a step of the plan and its sight.
-	capSlack = 0.02
+	// capTolerance allows for the time between a step of the plan and its sight.
+	capTolerance = 0.02
 )
 
 type (
@@ -47,7 +47,7 @@
 		Shed    int64
 		Lookups uint64
 
-		shiftSeen []shiftPoint
+		shiftSamples []shiftSample
 	}
 
 	// ClassReport is the measures of one class, in milliseconds.
@@ -71,9 +71,9 @@
 		Moment float64
 	}
 
-	shiftPoint struct {
-		at   timekeeper.Millis
-		have float64
+	shiftSample struct {
+		at    timekeeper.Millis
+		moved float64
 	}
 
 	// usage samples the slots in use.
@@ -82,40 +82,40 @@
 		slots map[string]int
 
 		lock   sync.Mutex
-		recent map[string][]usePoint
+		recent map[string][]usageSample
 		mean   map[string]float64
-		moment map[string]float64
+		peak   map[string]float64
 	}
 
-	usePoint struct {
-		at   time.Time
-		part float64
+	usageSample struct {
+		at       time.Time
+		fraction float64
 	}
 )
 
 // Broken tells whether any promise was broken.
 func (r *Report) Broken() bool {
-	return r.Verdict.Broken() || r.ShiftFastest > r.ShiftCapPerMinute*(1+capSlack)
+	return r.Verdict.Violated() || r.ShiftFastest > r.ShiftCapPerMinute*(1+capTolerance)
 }
 
-// noteShift keeps how much a plan made at a wall time had moved, whenever it
+// recordShift keeps how much a plan made at a wall time had moved, whenever it
 // changed.
-func (r *Report) noteShift(at timekeeper.Millis, have float64) {
-	if n := len(r.shiftSeen); n > 0 && r.shiftSeen[n-1].have == have {
+func (r *Report) recordShift(at timekeeper.Millis, have float64) {
+	if n := len(r.shiftSamples); n > 0 && r.shiftSamples[n-1].moved == have {
 		return
 	}
-	r.shiftSeen = append(r.shiftSeen, shiftPoint{at, have})
+	r.shiftSamples = append(r.shiftSamples, shiftSample{at, have})
 	r.ShiftMoved = have
 }
 
-// fastest is the most that moved within any span, scaled to a minute. The first
+// maxShiftRate is the most that moved within any span, scaled to a minute. The first
 // step may hold what the planner allows at once, so the span begins before it.
-func (r *Report) fastest() float64 {
+func (r *Report) maxShiftRate() float64 {
 	var most float64
-	for i, a := range r.shiftSeen {
-		for _, b := range r.shiftSeen[i+1:] {
+	for i, a := range r.shiftSamples {
+		for _, b := range r.shiftSamples[i+1:] {
 			if span := b.at - a.at; span >= 2*timekeeper.Second {
-				most = max(most, (b.have-a.have)/span.Duration().Minutes())
+				most = max(most, (b.moved-a.moved)/span.Duration().Minutes())
 			}
 		}
 	}
@@ -126,9 +126,9 @@
 	u := &usage{
 		fleet:  f,
 		slots:  map[string]int{},
-		recent: map[string][]usePoint{},
+		recent: map[string][]usageSample{},
 		mean:   map[string]float64{},
-		moment: map[string]float64{},
+		peak:   map[string]float64{},
 	}
 	for _, s := range f.servers {
 		u.slots[s.site.Region()] += s.Slots
@@ -137,7 +137,7 @@
 }
 
 func (u *usage) loop(ctx context.Context) {
-	timekeeper.Every(ctx, watchPace, func() { u.sample(time.Now()) })
+	timekeeper.Every(ctx, pollInterval, func() { u.sample(time.Now()) })
 }
 
 func (u *usage) sample(now time.Time) {
@@ -149,9 +149,9 @@
 	defer u.lock.Unlock()
 	for region, slots := range u.slots {
 		part := float64(busy[region]) / float64(slots)
-		u.moment[region] = max(u.moment[region], part)
-		points := append(u.recent[region], usePoint{now, part})
-		for now.Sub(points[0].at) > window {
+		u.peak[region] = max(u.peak[region], part)
+		points := append(u.recent[region], usageSample{now, part})
+		for now.Sub(points[0].at) > usageWindow {
 			points = points[1:]
 		}
 		u.recent[region] = points
@@ -159,10 +159,10 @@
 	}
 }
 
-func meanOf(points []usePoint) float64 {
+func meanOf(points []usageSample) float64 {
 	var sum float64
 	for _, p := range points {
-		sum += p.part
+		sum += p.fraction
 	}
 	return sum / float64(len(points))
 }
@@ -179,24 +179,24 @@
 }
 
 // finish fills in the report.
-func (r *run) finish() {
+func (r *demoRun) finish() {
 	p := &r.report
-	p.Shape = r.shape.name
+	p.Shape = r.deployment.name
 	p.Seconds = r.options.Length.Seconds()
 	for _, a := range r.load.Accounts() {
 		p.Classes = append(p.Classes, classReport(a))
 	}
 	slices.SortFunc(p.Classes, func(a, b ClassReport) int { return strings.Compare(a.Class, b.Class) })
 	for _, region := range slices.Sorted(maps.Keys(r.usage.mean)) {
-		p.Use = append(p.Use, RegionUse{region, r.usage.mean[region], r.usage.moment[region]})
+		p.Use = append(p.Use, RegionUse{region, r.usage.mean[region], r.usage.peak[region]})
 	}
 	for _, s := range r.fleet.servers {
 		p.Shed += s.Counts().Shed
 	}
 	r.lock.Lock()
-	p.ShiftFastest = p.fastest()
+	p.ShiftFastest = p.maxShiftRate()
 	r.lock.Unlock()
-	p.Verdict = r.load.Judge(r.fleet.journals())
+	p.Verdict = r.load.CheckJournals(r.fleet.journals())
 }
 
 func classReport(a caller.Account) ClassReport {
--- a/internal/standin/demonstrator/shape.go
+++ b/internal/standin/demonstrator/shape.go
@@ -22,26 +22,26 @@
 )
 
 type (
-	// shape is a deployment: its places, services and lines.
-	shape struct {
+	// deployment is a deployment: its places, services and lines.
+	deployment struct {
 		name string
 		// daemons is how many entries each site has.
-		daemons []siteCount
+		daemons []siteDaemons
 		// domainDelay is one way between failure domains of a region.
 		domainDelay time.Duration
-		services    []serviceShape
+		services    []serviceSpec
 		// shift and drain are what the operators do.
 		shiftFrom string
 		shiftTo   string
 		drain     resolver.Path
 	}
 
-	siteCount struct {
+	siteDaemons struct {
 		site  registrar.Site
 		count int
 	}
 
-	serviceShape struct {
+	serviceSpec struct {
 		name          resolver.ServiceName
 		class         resolver.Class
 		servers       int
@@ -49,35 +49,35 @@
 		serviceMillis float64
 		bytes         int64
 		pace          int64
-		postPart      float64
+		postFraction  float64
 		connMillis    timekeeper.Millis
 		probeMillis   timekeeper.Millis
 	}
 )
 
-func shapeOf(name string) (shape, error) {
+func deploymentByName(name string) (deployment, error) {
 	switch name {
 	case ShapeKegloop:
 		return kegloop(), nil
 	case ShapeAthath:
 		return athath(), nil
 	}
-	return shape{}, fmt.Errorf("--shape: %q is neither %s nor %s", name, ShapeKegloop, ShapeAthath)
+	return deployment{}, fmt.Errorf("--shape: %q is neither %s nor %s", name, ShapeKegloop, ShapeAthath)
 }
 
-func kegloop() shape {
-	return shape{
+func kegloop() deployment {
+	return deployment{
 		name: ShapeKegloop,
-		daemons: []siteCount{
+		daemons: []siteDaemons{
 			{"erie/a", 2}, {"erie/b", 2},
 			{"michigan/a", 2}, {"michigan/b", 2},
 			{"superior/a", 1}, {"superior/b", 1},
 		},
 		domainDelay: 1500 * time.Microsecond,
-		services: []serviceShape{
+		services: []serviceSpec{
 			{
 				name: "keg-ledger", class: resolver.ClassShort, servers: 24, slots: 6,
-				serviceMillis: 50, bytes: 600, postPart: 0.3, connMillis: 1, probeMillis: 6,
+				serviceMillis: 50, bytes: 600, postFraction: 0.3, connMillis: 1, probeMillis: 6,
 			},
 			{
 				name: "manifest-depot", class: resolver.ClassExport, servers: 12, slots: 3,
@@ -90,19 +90,19 @@
 	}
 }
 
-func athath() shape {
-	return shape{
+func athath() deployment {
+	return deployment{
 		name: ShapeAthath,
-		daemons: []siteCount{
+		daemons: []siteDaemons{
 			{"muscat/a", 2}, {"muscat/b", 2},
 			{"sohar/a", 2}, {"sohar/b", 2},
 			{"salalah/a", 1}, {"salalah/b", 1},
 		},
 		domainDelay: 500 * time.Microsecond,
-		services: []serviceShape{
+		services: []serviceSpec{
 			{
 				name: "shopdesk", class: resolver.ClassShort, servers: 32, slots: 3,
-				serviceMillis: 50, bytes: 600, postPart: 0.3, connMillis: 1,
+				serviceMillis: 50, bytes: 600, postFraction: 0.3, connMillis: 1,
 			},
 			{
 				name: "catalogue", class: resolver.ClassExport, servers: 12, slots: 3,
@@ -115,21 +115,21 @@
 	}
 }
 
-// millis is the mean time that a request holds a slot.
-func (s serviceShape) millis() float64 {
+// slotMillis is the mean time that a request holds a slot.
+func (s serviceSpec) slotMillis() float64 {
 	if s.pace == 0 {
 		return s.serviceMillis
 	}
 	return s.serviceMillis + 1000*float64(s.bytes)/float64(s.pace)
 }
 
-// rate is how many requests a second use a part of all slots.
-func (s serviceShape) rate(load float64) float64 {
-	return load * float64(s.servers*s.slots) / s.millis() * 1000
+// requestRate is how many requests a second use a part of all slots.
+func (s serviceSpec) requestRate(load float64) float64 {
+	return load * float64(s.servers*s.slots) / s.slotMillis() * 1000
 }
 
 // delay is one way between two sites.
-func (s shape) delay(a, b registrar.Site) time.Duration {
+func (s deployment) delay(a, b registrar.Site) time.Duration {
 	switch {
 	case a == b:
 		return 0
@@ -140,14 +140,14 @@
 }
 
 // clientDelayTo is one way between the callers of a region and a site.
-func (s shape) clientDelayTo(region string, site registrar.Site) time.Duration {
+func (s deployment) clientDelayTo(region string, site registrar.Site) time.Duration {
 	if site.Region() == region {
 		return clientDelay
 	}
 	return clientDelay + regionDelay
 }
 
-func (s shape) sites() []registrar.Site {
+func (s deployment) sites() []registrar.Site {
 	var out []registrar.Site
 	for _, d := range s.daemons {
 		out = append(out, d.site)
@@ -155,8 +155,8 @@
 	return out
 }
 
-// blocksOf are the client blocks of the n-th site.
-func blocksOf(n int) []string {
+// clientBlocks are the client blocks of the n-th site.
+func clientBlocks(n int) []string {
 	var out []string
 	for i := range blocksPerSite {
 		out = append(out, fmt.Sprintf("10.%d.%d.0", n+1, i))
--- a/internal/standin/payload/stream.go
+++ b/internal/standin/payload/stream.go
@@ -21,8 +21,8 @@
 
 // Stream is the answer to one token: the same bytes each time.
 type Stream struct {
-	source *rand.ChaCha8
-	left   int64
+	source    *rand.ChaCha8
+	remaining int64
 }
 
 // New returns the answer of the given length to a token and a request body.
@@ -30,19 +30,19 @@
 	var seed [seedBytes]byte
 	binary.LittleEndian.PutUint64(seed[0:], xxhash.Sum64String(token))
 	binary.LittleEndian.PutUint64(seed[8:], xxhash.Sum64(body))
-	return &Stream{source: rand.NewChaCha8(seed), left: length}
+	return &Stream{source: rand.NewChaCha8(seed), remaining: length}
 }
 
 // Read returns the next bytes of the answer.
 func (s *Stream) Read(p []byte) (int, error) {
-	if s.left == 0 {
+	if s.remaining == 0 {
 		return 0, io.EOF
 	}
-	if int64(len(p)) > s.left {
-		p = p[:s.left]
+	if int64(len(p)) > s.remaining {
+		p = p[:s.remaining]
 	}
 	n, _ := s.source.Read(p)
-	s.left -= int64(n)
+	s.remaining -= int64(n)
 	return n, nil
 }
 
@@ -60,8 +60,8 @@
 			total += int64(n)
 		}
 		if err == io.EOF {
-			if want.left > 0 {
-				return total, eris.Errorf("%d bytes short", want.left)
+			if want.remaining > 0 {
+				return total, eris.Errorf("%d bytes short", want.remaining)
 			}
 			return total, nil
 		}
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -79,7 +79,7 @@
 		http.Error(w, "unknown token", http.StatusUnauthorized)
 		return
 	}
-	if !s.arrive(w, r) {
+	if !s.admit(w, r) {
 		return
 	}
 	switch {
@@ -94,8 +94,8 @@
 	}
 }
 
-// arrive counts a call and lets the faults that stop it happen.
-func (s *Server) arrive(w http.ResponseWriter, r *http.Request) bool {
+// admit counts a call and lets the faults that stop it happen.
+func (s *Server) admit(w http.ResponseWriter, r *http.Request) bool {
 	s.lock.Lock()
 	f := s.faults
 	switch {
@@ -138,7 +138,7 @@
 			http.NotFound(w, r)
 			return
 		}
-		w.Header().Set("ETag", tag(o.Revision))
+		w.Header().Set("ETag", etag(o.Revision))
 		_, _ = w.Write(o.Body)
 	case http.MethodPut, http.MethodDelete:
 		s.serveWrite(w, r, name)
@@ -156,30 +156,30 @@
 		http.Error(w, "object too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	c, ok := conditionOf(r)
+	c, ok := parseCondition(r)
 	if !ok {
 		http.Error(w, "a write needs If-Match or If-None-Match", http.StatusBadRequest)
 		return
 	}
-	revision, done := s.apply(r.Method, name, body, c)
-	if s.losesAnswer(name) {
+	revision, done := s.applyWrite(r.Method, name, body, c)
+	if s.dropResponse(name) {
 		panic(http.ErrAbortHandler)
 	}
 	if !done {
 		http.Error(w, "another revision", http.StatusPreconditionFailed)
 		return
 	}
-	w.Header().Set("ETag", tag(revision))
+	w.Header().Set("ETag", etag(revision))
 }
 
-func (s *Server) apply(method, name string, body []byte, c condition) (storer.Revision, bool) {
+func (s *Server) applyWrite(method, name string, body []byte, c condition) (storer.Revision, bool) {
 	if method == http.MethodDelete {
 		return 0, s.Store.remove(name, c)
 	}
 	return s.Store.put(name, body, c)
 }
 
-func (s *Server) losesAnswer(name string) bool {
+func (s *Server) dropResponse(name string) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.faults.LoseAnswers == 0 || !strings.HasPrefix(name, s.faults.LosePrefix) {
@@ -190,7 +190,7 @@
 	return true
 }
 
-func conditionOf(r *http.Request) (condition, bool) {
+func parseCondition(r *http.Request) (condition, bool) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return condition{absent: true}, true
 	}
@@ -199,7 +199,7 @@
 		return condition{}, false
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
-	return condition{at: storer.Revision(n)}, err == nil
+	return condition{revision: storer.Revision(n)}, err == nil
 }
 
 func (s *Server) serveList(w http.ResponseWriter, r *http.Request) {
@@ -212,12 +212,12 @@
 	q := r.URL.Query()
 	since, _ := strconv.ParseUint(q.Get("Since"), 10, 64)
 	wait, _ := strconv.ParseInt(q.Get("WaitMillis"), 10, 64)
-	s.count(1)
-	defer s.count(-1)
+	s.addWaiting(1)
+	defer s.addWaiting(-1)
 	end := time.NewTimer(timekeeper.Millis(wait).Duration())
 	defer end.Stop()
 	for {
-		b, changed := s.Store.since(q["Prefix"], storer.Revision(since))
+		b, changed := s.Store.changesSince(q["Prefix"], storer.Revision(since))
 		if len(b.Objects) > 0 {
 			writeJSON(w, b)
 			return
@@ -233,13 +233,13 @@
 	}
 }
 
-func (s *Server) count(n int) {
+func (s *Server) addWaiting(n int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.counts.Waiting += n
 }
 
-func tag(r storer.Revision) string {
+func etag(r storer.Revision) string {
 	return strconv.Quote(strconv.FormatUint(uint64(r), 10))
 }
 
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -19,8 +19,8 @@
 
 	// condition is what a write demands of the object.
 	condition struct {
-		absent bool
-		at     storer.Revision
+		absent   bool
+		revision storer.Revision
 	}
 )
 
@@ -35,7 +35,7 @@
 func (s *Store) put(name string, body []byte, c condition) (storer.Revision, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if !s.meets(name, c) {
+	if !s.satisfies(name, c) {
 		return 0, false
 	}
 	if s.objects == nil {
@@ -43,31 +43,31 @@
 	}
 	s.revision++
 	s.objects[name] = storer.Object{Name: name, Revision: s.revision, Body: body}
-	s.wake()
+	s.notifyWatchers()
 	return s.revision, true
 }
 
 func (s *Store) remove(name string, c condition) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if !s.meets(name, c) {
+	if !s.satisfies(name, c) {
 		return false
 	}
 	s.revision++
 	delete(s.objects, name)
-	s.wake()
+	s.notifyWatchers()
 	return true
 }
 
-func (s *Store) meets(name string, c condition) bool {
+func (s *Store) satisfies(name string, c condition) bool {
 	o, ok := s.objects[name]
 	if c.absent {
 		return !ok
 	}
-	return ok && o.Revision == c.at
+	return ok && o.Revision == c.revision
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatchers() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
@@ -90,9 +90,9 @@
 	return b
 }
 
-// since returns the objects under prefixes above a revision, and a channel that
+// changesSince returns the objects under prefixes above a revision, and a channel that
 // closes at the next write.
-func (s *Store) since(prefixes []string, since storer.Revision) (storer.Batch, <-chan struct{}) {
+func (s *Store) changesSince(prefixes []string, since storer.Revision) (storer.Batch, <-chan struct{}) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	b := storer.Batch{Revision: s.revision}
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -28,12 +28,12 @@
 	journalPath = "/Journal"
 	drainPath   = "/Drain"
 
-	maxBody = 64 << 20
+	maxBodyBytes = 64 << 20
 
-	// longest bounds a drawn service time, in multiples of the mean.
-	longest = 8
+	// maxServiceMultiple bounds a drawn service time, in multiples of the mean.
+	maxServiceMultiple = 8
 
-	pieceBytes = 16 << 10
+	chunkBytes = 16 << 10
 )
 
 type (
@@ -58,22 +58,22 @@
 		LagMillis timekeeper.Millis
 		Seed      uint64
 
-		cpu      sync.Mutex
-		busy     atomic.Int64
-		peak     atomic.Int64
-		served   atomic.Int64
-		shed     atomic.Int64
-		probes   atomic.Int64
-		conns    atomic.Int64
-		draining atomic.Bool
-		drained  atomic.Int64
-		late     atomic.Int64
+		cpu       sync.Mutex
+		busy      atomic.Int64
+		peak      atomic.Int64
+		served    atomic.Int64
+		shed      atomic.Int64
+		probes    atomic.Int64
+		conns     atomic.Int64
+		draining  atomic.Bool
+		drainedAt atomic.Int64
+		late      atomic.Int64
 
-		lock    sync.Mutex
-		random  *rand.Rand
-		journal map[string]int
-		shown   int64
-		shownAt time.Time
+		lock         sync.Mutex
+		random       *rand.Rand
+		journal      map[string]int
+		reportedLoad int64
+		reportedAt   time.Time
 	}
 
 	// Counts is what a stand-in did.
@@ -98,12 +98,12 @@
 func (s *Server) connState(_ net.Conn, state http.ConnState) {
 	if state == http.StateNew {
 		s.conns.Add(1)
-		s.spend(s.ConnMillis)
+		s.occupyCPU(s.ConnMillis)
 	}
 }
 
-// spend makes everything else wait.
-func (s *Server) spend(m timekeeper.Millis) {
+// occupyCPU makes everything else wait.
+func (s *Server) occupyCPU(m timekeeper.Millis) {
 	if m <= 0 {
 		return
 	}
@@ -114,7 +114,7 @@
 
 // Drain announces that the server stops, or that it is back.
 func (s *Server) Drain(on bool) {
-	s.drained.Store(time.Now().UnixNano())
+	s.drainedAt.Store(time.Now().UnixNano())
 	s.draining.Store(on)
 }
 
@@ -150,7 +150,7 @@
 	case probePath:
 		s.serveProbe(w)
 	case loadPath:
-		writeJSON(w, s.laggingLoad())
+		writeJSON(w, s.delayedLoad())
 	case journalPath:
 		writeJSON(w, s.Counts())
 	case drainPath:
@@ -162,39 +162,39 @@
 
 func (s *Server) serveProbe(w http.ResponseWriter) {
 	s.probes.Add(1)
-	s.spend(s.ProbeMillis)
-	s.mark(w)
+	s.occupyCPU(s.ProbeMillis)
+	s.setDrainHeader(w)
 	w.WriteHeader(http.StatusOK)
 }
 
-func (s *Server) mark(w http.ResponseWriter) {
+func (s *Server) setDrainHeader(w http.ResponseWriter) {
 	if s.draining.Load() {
 		w.Header().Set(HeaderDraining, "1")
 	}
 }
 
-// laggingLoad is the number of busy slots some time ago.
-func (s *Server) laggingLoad() int64 {
+// delayedLoad is the number of busy slots some time ago.
+func (s *Server) delayedLoad() int64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if time.Since(s.shownAt) >= s.LagMillis.Duration() {
-		s.shown = s.busy.Load()
-		s.shownAt = time.Now()
+	if time.Since(s.reportedAt) >= s.LagMillis.Duration() {
+		s.reportedLoad = s.busy.Load()
+		s.reportedAt = time.Now()
 	}
-	return s.shown
+	return s.reportedLoad
 }
 
-// lateAfter is when new work at a draining server counts as late.
-const lateAfter = 2 * time.Second
+// lateThreshold is when new work at a draining server counts as late.
+const lateThreshold = 2 * time.Second
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	if s.draining.Load() && time.Now().UnixNano()-s.drained.Load() > int64(lateAfter) {
+	if s.draining.Load() && time.Now().UnixNano()-s.drainedAt.Load() > int64(lateThreshold) {
 		s.late.Add(1)
 	}
 	if n := s.busy.Add(1); n > int64(s.Slots) {
 		s.busy.Add(-1)
 		s.shed.Add(1)
-		s.mark(w)
+		s.setDrainHeader(w)
 		w.Header().Set(HeaderNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -202,22 +202,22 @@
 	var once sync.Once
 	free := func() { once.Do(func() { s.busy.Add(-1) }) }
 	defer free()
-	s.notePeak()
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	s.updatePeak()
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		// Half a request is no request: nothing of it is run.
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	token := r.URL.Query().Get(payload.ParamToken)
-	s.run(token)
-	if !s.work(r) {
+	s.recordRun(token)
+	if !s.simulateWork(r) {
 		return
 	}
-	s.answer(w, r, token, body, free)
+	s.writeResponse(w, r, token, body, free)
 }
 
-func (s *Server) notePeak() {
+func (s *Server) updatePeak() {
 	for {
 		n := s.busy.Load()
 		p := s.peak.Load()
@@ -227,8 +227,8 @@
 	}
 }
 
-// run notes in the journal that a request takes effect.
-func (s *Server) run(token string) {
+// recordRun notes in the journal that a request takes effect.
+func (s *Server) recordRun(token string) {
 	s.served.Add(1)
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -238,22 +238,22 @@
 	s.journal[token]++
 }
 
-// work takes the time of the request. It reports false when the caller gave up.
-func (s *Server) work(r *http.Request) bool {
+// simulateWork takes the time of the request. It reports false when the caller gave up.
+func (s *Server) simulateWork(r *http.Request) bool {
 	select {
-	case <-time.After(s.draw()):
+	case <-time.After(s.drawServiceTime()):
 		return true
 	case <-r.Context().Done():
 		return false
 	}
 }
 
-func (s *Server) draw() time.Duration {
+func (s *Server) drawServiceTime() time.Duration {
 	s.lock.Lock()
 	if s.random == nil {
 		s.random = rand.New(rand.NewPCG(s.Seed, s.Seed))
 	}
-	x := min(s.random.ExpFloat64(), longest)
+	x := min(s.random.ExpFloat64(), maxServiceMultiple)
 	s.lock.Unlock()
 	if s.served.Load() <= s.ColdRequests {
 		x *= 2
@@ -261,16 +261,16 @@
 	return time.Duration(x * s.ServiceMillis * float64(time.Millisecond))
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, token string, body []byte, free func()) {
+func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, token string, body []byte, free func()) {
 	length := s.Bytes
 	if n, err := strconv.ParseInt(r.URL.Query().Get(payload.ParamBytes), 10, 64); err == nil {
 		length = n
 	}
-	s.mark(w)
+	s.setDrainHeader(w)
 	w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	w.Header().Set("Content-Type", "application/octet-stream")
 	stream := payload.New(token, body, length)
-	piece := make([]byte, min(pieceBytes, max(length, 1)))
+	piece := make([]byte, min(chunkBytes, max(length, 1)))
 	began := time.Now()
 	var sent int64
 	for {
--- a/internal/standin/signer/authority.go
+++ b/internal/standin/signer/authority.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	fileMode  = 0o600
-	mostBits  = 62
-	validFrom = -time.Hour
+	fileMode        = 0o600
+	serialBits      = 62
+	notBeforeOffset = -time.Hour
 )
 
 // Authority signs certificates.
@@ -49,20 +49,20 @@
 	}
 	var pool []byte
 	for _, x := range trust {
-		pool = append(pool, block("CERTIFICATE", x.cert.Raw)...)
+		pool = append(pool, encodePEM("CERTIFICATE", x.cert.Raw)...)
 	}
-	write(f.Certificate, block("CERTIFICATE", a.sign(a.cert, &key.PublicKey, until).Raw))
-	write(f.Key, block("PRIVATE KEY", der))
-	write(f.Authority, pool)
+	writeFile(f.Certificate, encodePEM("CERTIFICATE", a.sign(a.cert, &key.PublicKey, until).Raw))
+	writeFile(f.Key, encodePEM("PRIVATE KEY", der))
+	writeFile(f.Authority, pool)
 	return f
 }
 
 // sign signs for a key, by the authority itself when parent is nil.
 func (a *Authority) sign(parent *x509.Certificate, key *ecdsa.PublicKey, until time.Time) *x509.Certificate {
 	c := &x509.Certificate{
-		SerialNumber: must(rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), mostBits))),
+		SerialNumber: must(rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))),
 		Subject:      pkix.Name{CommonName: "gullvale"},
-		NotBefore:    time.Now().Add(validFrom),
+		NotBefore:    time.Now().Add(notBeforeOffset),
 		NotAfter:     until,
 		IsCA:         parent == nil,
 		KeyUsage:     x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
@@ -80,11 +80,11 @@
 	return must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
 }
 
-func block(kind string, der []byte) []byte {
+func encodePEM(kind string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-func write(name string, text []byte) {
+func writeFile(name string, text []byte) {
 	if err := os.WriteFile(name, text, fileMode); err != nil {
 		panic("signer: " + err.Error())
 	}
--- a/test/bad_input_test.go
+++ b/test/bad_input_test.go
@@ -25,7 +25,7 @@
 	address := startPlatform(t)
 	upstream := startUpstream(t)
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	d.apply(1, fmt.Sprintf(oneSite, upstream)+"[Service.keg-ledger]\nMaxBodyBytes = 1000\nHosts = [\"ledger\"]\n")
+	d.applySettings(1, fmt.Sprintf(oneSiteSettings, upstream)+"[Service.keg-ledger]\nMaxBodyBytes = 1000\nHosts = [\"ledger\"]\n")
 	const head = "POST /x?Token=bad HTTP/1.1\r\nHost: ledger\r\n"
 	for _, c := range []struct {
 		name, text string
@@ -48,7 +48,7 @@
 			conn, err := net.Dial("tcp", d.callers)
 			is.NoErr(err)
 			defer conn.Close()
-			is.NoErr(conn.SetDeadline(time.Now().Add(patience)))
+			is.NoErr(conn.SetDeadline(time.Now().Add(waitTimeout)))
 			go func() { _, _ = io.WriteString(conn, c.text) }()
 			p, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			is.NoErr(err)
@@ -58,7 +58,7 @@
 		})
 	}
 	is := is.New(t)
-	is.Equal(counts(t, upstream).Journal["bad"], 0)
+	is.Equal(upstreamCounts(t, upstream).Journal["bad"], 0)
 	eventually(t, "the refusals are counted", func() bool {
 		p, err := http.Get("http://" + d.operators + "/metrics")
 		is.NoErr(err)
@@ -70,8 +70,8 @@
 	})
 }
 
-// brokenUpstream answers with a whole head and half a body.
-func brokenUpstream(t *testing.T, head string) string {
+// startTruncatingUpstream answers with a whole head and half a body.
+func startTruncatingUpstream(t *testing.T, head string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -108,10 +108,10 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			address := startPlatform(t)
-			upstream := brokenUpstream(t, head)
+			upstream := startTruncatingUpstream(t, head)
 			d1 := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 			d2 := startDaemon(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
-			d1.apply(2, fmt.Sprintf(oneSite, upstream))
+			d1.applySettings(2, fmt.Sprintf(oneSiteSettings, upstream))
 			for _, d := range []*daemon{d1, d2} {
 				var p *http.Response
 				eventually(t, "an upstream is owned", func() bool {
@@ -134,9 +134,9 @@
 func TestLostUpstreamIsUnknown(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
-	upstream := brokenUpstream(t, "")
+	upstream := startTruncatingUpstream(t, "")
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	d.apply(1, fmt.Sprintf(oneSite, upstream))
+	d.applySettings(1, fmt.Sprintf(oneSiteSettings, upstream))
 	for _, body := range []string{"", "one sofa"} {
 		for _, key := range []string{"", "key of " + body} {
 			var p *http.Response
--- a/test/cli_test.go
+++ b/test/cli_test.go
@@ -14,9 +14,9 @@
 	"github.com/gullvale/gullvale/internal/standin/platform"
 )
 
-// command runs the command line against daemons and returns its exit code and
+// runCommand runs the command line against daemons and returns its exit code and
 // what it printed.
-func command(t *testing.T, operators string, args ...string) (int, string) {
+func runCommand(t *testing.T, operators string, args ...string) (int, string) {
 	t.Helper()
 	c := exec.Command(filepath.Join(binaries, "gullvale"), args...)
 	c.Env = append(os.Environ(), "GULLVALE_OPERATORS="+operators, "GULLVALE_TOKEN="+token, "HOME="+t.TempDir())
@@ -43,16 +43,16 @@
 	request := `{"time":"2026-01-11T05:37:30.000Z","msg":"request","id":"aa01","outcome":"not-run","reason":"line","status":503}` + "\n"
 	table := filepath.Join(dir, "table.toml")
 	wrong := filepath.Join(dir, "wrong.toml")
-	routes := tableOf(7, `"erie-b"`, []string{"10.0.0.1:80", "10.0.0.2:80"})
+	routes := routeTable(7, `"erie-b"`, []string{"10.0.0.1:80", "10.0.0.2:80"})
 	for name, text := range map[string]string{table: routes, wrong: "Version = 0\nRoute.r.Host = 7\n", tree: good, bad: "Slots = 0\nlimit = \"1%\"\n", blocks: "10.1.0.0/16 erie/a\n10.2.0.0/16 michigan/a\n", logs: request} {
 		if err := writeFile(name, text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	a.ready()
-	b.ready()
+	a.waitReady()
+	b.waitReady()
 	eventually(t, "both are members", func() bool {
-		code, out := command(t, a.operators, "status", "-o", "json")
+		code, out := runCommand(t, a.operators, "status", "-o", "json")
 		return code == 0 && strings.Contains(out, `"Members": 2`)
 	})
 	const nobody = "127.0.0.1:1"
@@ -109,7 +109,7 @@
 	} {
 		t.Run(c.args, func(t *testing.T) {
 			is := is.New(t)
-			code, out := command(t, c.operators, strings.Fields(c.args)...)
+			code, out := runCommand(t, c.operators, strings.Fields(c.args)...)
 			if code != c.code || !strings.Contains(out, c.want) {
 				t.Logf("exit %d: %s", code, out)
 			}
@@ -119,15 +119,15 @@
 	}
 	t.Run("outcome unknown", func(t *testing.T) {
 		is := is.New(t)
-		fault(t, address, platform.Faults{LoseAnswers: 1, LosePrefix: "Settings/", DownAfterLoss: true})
-		code, out := command(t, both, "s", "set", "erie", "Limit=50%")
+		setFaults(t, address, platform.Faults{LoseAnswers: 1, LosePrefix: "Settings/", DownAfterLoss: true})
+		code, out := runCommand(t, both, "s", "set", "erie", "Limit=50%")
 		is.Equal(code, 4)
 		is.True(strings.Contains(out, "look for change id"))
-		fault(t, address, platform.Faults{Down: true})
-		code, _ = command(t, both, "s", "set", "erie", "Limit=51%")
+		setFaults(t, address, platform.Faults{Down: true})
+		code, _ = runCommand(t, both, "s", "set", "erie", "Limit=51%")
 		is.Equal(code, 5)
-		fault(t, address, platform.Faults{})
-		code, out = command(t, both, "s", "log", "-o", "json")
+		setFaults(t, address, platform.Faults{})
+		code, out = runCommand(t, both, "s", "log", "-o", "json")
 		is.Equal(code, 0)
 		var l struct{ Changes []json.RawMessage }
 		is.NoErr(json.Unmarshal([]byte(out), &l))
--- a/test/deadly_test.go
+++ b/test/deadly_test.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	// deadlyRun is how long an upstream lives with a deadly request, deadlyPause how long it
-	// takes to come back, and deadlyEvery how often the request comes.
-	deadlyRun   = 60 * time.Millisecond
-	deadlyPause = 1500 * time.Millisecond
-	deadlyEvery = 150 * time.Millisecond
-	// knownAfter is how long after three upstreams ended under it all daemons have to know of a
-	// request, and lateRetries how often it may reach upstreams after that.
-	knownAfter  = 4 * time.Second
-	lateRetries = 3
+	// crashDelay is how long an upstream lives with a deadly request, restartDelay how long it
+	// takes to come back, and sendInterval how often the request comes.
+	crashDelay   = 60 * time.Millisecond
+	restartDelay = 1500 * time.Millisecond
+	sendInterval = 150 * time.Millisecond
+	// propagationTime is how long after three upstreams ended under it all daemons have to know of a
+	// request, and maxLateArrivals how often it may reach upstreams after that.
+	propagationTime = 4 * time.Second
+	maxLateArrivals = 3
 )
 
 type (
-	// mortals are upstreams that end when they run /deadly, and come back at their address.
-	mortals struct {
+	// crashingUpstreams are upstreams that end when they run /deadly, and come back at their address.
+	crashingUpstreams struct {
 		t    *testing.T
 		lock sync.Mutex
-		// reached is when /deadly reached an upstream, ended when one ended.
-		reached, ended []time.Time
-		live           map[string]*httptest.Server
-		closed         bool
+		// arrivals is when /deadly reached an upstream, ended when one ended.
+		arrivals, crashes []time.Time
+		live              map[string]*httptest.Server
+		closed            bool
 	}
 )
 
-func startMortals(t *testing.T, count int) (m *mortals, addresses []string) {
-	m = &mortals{t: t, live: map[string]*httptest.Server{}}
+func startCrashingUpstreams(t *testing.T, count int) (m *crashingUpstreams, addresses []string) {
+	m = &crashingUpstreams{t: t, live: map[string]*httptest.Server{}}
 	t.Cleanup(m.close)
 	for range count {
-		addresses = append(addresses, m.begin("127.0.0.1:0"))
+		addresses = append(addresses, m.launch("127.0.0.1:0"))
 	}
 	return m, addresses
 }
 
-// begin starts a life of an upstream.
-func (m *mortals) begin(address string) string {
+// launch starts a life of an upstream.
+func (m *crashingUpstreams) launch(address string) string {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if m.closed {
@@ -65,7 +65,7 @@
 	address = l.Addr().String()
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/deadly") {
-			m.end(address)
+			m.crash(address)
 		}
 		fmt.Fprintln(w, "answer")
 	}))
@@ -76,26 +76,26 @@
 	return address
 }
 
-// end ends an upstream some time after it began to run a deadly request.
-func (m *mortals) end(address string) {
+// crash ends an upstream some time after it began to run a deadly request.
+func (m *crashingUpstreams) crash(address string) {
 	m.lock.Lock()
 	s := m.live[address]
-	m.reached = append(m.reached, time.Now())
+	m.arrivals = append(m.arrivals, time.Now())
 	m.lock.Unlock()
-	time.Sleep(deadlyRun)
+	time.Sleep(crashDelay)
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if s != nil && m.live[address] == s {
 		delete(m.live, address)
-		m.ended = append(m.ended, time.Now())
+		m.crashes = append(m.crashes, time.Now())
 		s.Listener.Close()
 		s.CloseClientConnections()
-		time.AfterFunc(deadlyPause, func() { m.begin(address) })
+		time.AfterFunc(restartDelay, func() { m.launch(address) })
 	}
 	panic(http.ErrAbortHandler)
 }
 
-func (m *mortals) close() {
+func (m *crashingUpstreams) close() {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	m.closed = true
@@ -105,26 +105,26 @@
 	}
 }
 
-// late returns how often the request reached upstreams when all daemons had to know, and how
+// lateArrivals returns how often the request reached upstreams when all daemons had to know, and how
 // many upstreams ended in all.
-func (m *mortals) late() (reached, ended int) {
+func (m *crashingUpstreams) lateArrivals() (reached, ended int) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	if len(m.ended) < lateRetries {
-		return 0, len(m.ended)
+	if len(m.crashes) < maxLateArrivals {
+		return 0, len(m.crashes)
 	}
-	known := m.ended[2].Add(knownAfter)
-	late := slices.DeleteFunc(slices.Clone(m.reached), func(t time.Time) bool { return t.Before(known) })
-	return len(late), len(m.ended)
+	known := m.crashes[2].Add(propagationTime)
+	late := slices.DeleteFunc(slices.Clone(m.arrivals), func(t time.Time) bool { return t.Before(known) })
+	return len(late), len(m.crashes)
 }
 
-// press sends a request again and again round the daemons, and returns how often each
+// sendRepeatedly sends a request again and again round the daemons, and returns how often each
 // outcome came back.
-func press(method, target, body string, length time.Duration, all ...*daemon) map[string]int {
+func sendRepeatedly(method, target, body string, length time.Duration, all ...*daemon) map[string]int {
 	var lock sync.Mutex
 	var asked sync.WaitGroup
 	outcomes := map[string]int{}
-	tick := time.NewTicker(deadlyEvery)
+	tick := time.NewTicker(sendInterval)
 	defer tick.Stop()
 	for i, end := 0, time.Now().Add(length); time.Now().Before(end); i++ {
 		<-tick.C
@@ -144,21 +144,21 @@
 	return outcomes
 }
 
-// startMortalFleet starts two daemons in each of two regions, and eight upstreams.
-func startMortalFleet(t *testing.T) (*mortals, []*daemon) {
+// startCrashingFleet starts two daemons in each of two regions, and eight upstreams.
+func startCrashingFleet(t *testing.T) (*crashingUpstreams, []*daemon) {
 	address := startPlatform(t)
-	m, upstreams := startMortals(t, 8)
+	m, upstreams := startCrashingUpstreams(t, 8)
 	var all []*daemon
 	for i, region := range []string{"erie", "michigan", "erie", "michigan"} {
 		all = append(all, startDaemon(t, daemonOptions{name: fmt.Sprint(region, "-", i), region: region, domain: "a", platform: address}))
 	}
-	eventually(t, "four members", func() bool { return all[0].state().Members == 4 })
-	all[0].apply(4, fmt.Sprintf(`Slots = 6
+	eventually(t, "four members", func() bool { return all[0].status().Members == 4 })
+	all[0].applySettings(4, fmt.Sprintf(`Slots = 6
 [Region.erie.Domain.a.Service.keg-ledger]
 Upstreams = [%s]
 [Region.michigan.Domain.a.Service.keg-ledger]
 Upstreams = [%s]
-`, quoted(upstreams[:4]), quoted(upstreams[4:])))
+`, quoteList(upstreams[:4]), quoteList(upstreams[4:])))
 	eventually(t, "all are owned", func() bool { return totalSlots(all...) == 48 })
 	return m, all
 }
@@ -175,14 +175,14 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			is := is.New(t)
-			m, all := startMortalFleet(t)
-			outcomes := press(x.method, "/deadly", x.body, 8*time.Second, all...)
-			late, ended := m.late()
+			m, all := startCrashingFleet(t)
+			outcomes := sendRepeatedly(x.method, "/deadly", x.body, 8*time.Second, all...)
+			late, ended := m.lateArrivals()
 			t.Log(ended, "upstreams ended; answers:", outcomes)
-			is.True(ended >= lateRetries)
-			is.True(late <= lateRetries) // sent on although all daemons had to know
+			is.True(ended >= maxLateArrivals)
+			is.True(late <= maxLateArrivals) // sent on although all daemons had to know
 			var listed quarantiner.Listing
-			is.Equal(all[3].call(http.MethodGet, quarantiner.PathList, nil, &listed), http.StatusOK)
+			is.Equal(all[3].callOperator(http.MethodGet, quarantiner.PathList, nil, &listed), http.StatusOK)
 			is.Equal(len(listed.Suspects), 1)
 			is.True(listed.Suspects[0].Quarantined)
 			for i, d := range all {
@@ -192,10 +192,10 @@
 				is.Equal(p.StatusCode, http.StatusOK) // another request
 			}
 			lift := quarantiner.PathLift + "?" + quarantiner.FieldFingerprint + "=" + listed.Suspects[0].Fingerprint
-			is.Equal(all[0].call(http.MethodPost, lift, nil, nil), http.StatusOK)
+			is.Equal(all[0].callOperator(http.MethodPost, lift, nil, nil), http.StatusOK)
 			for _, d := range all {
 				eventually(t, d.name+" has it lifted", func() bool {
-					return d.call(http.MethodGet, quarantiner.PathList, nil, &listed) == http.StatusOK && len(listed.Suspects) == 0
+					return d.callOperator(http.MethodGet, quarantiner.PathList, nil, &listed) == http.StatusOK && len(listed.Suspects) == 0
 				})
 			}
 		})
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -15,8 +15,8 @@
 	"github.com/matryer/is"
 )
 
-// tableOf is a table of one route and two upstreams in two failure domains.
-func tableOf(version int, evacuated string, upstreams []string) string {
+// routeTable is a table of one route and two upstreams in two failure domains.
+func routeTable(version int, evacuated string, upstreams []string) string {
 	return fmt.Sprintf(`Version = %d
 Evacuated = [%s]
 [Limits]
@@ -47,10 +47,10 @@
 	for _, args := range [][]string{{"entry", "--table", "none.toml"}, {"platform"}} {
 		t.Run(args[0], func(t *testing.T) {
 			is := is.New(t)
-			d := start(t, "gullvaled", append(args, "--without", "homes,wings,tails")...)
-			is.Equal(d.exit(), 2)
+			d := startProcess(t, "gullvaled", append(args, "--without", "homes,wings,tails")...)
+			is.Equal(d.waitExit(), 2)
 			for _, part := range []string{"wings", "tails", "saved-homes"} {
-				is.True(strings.Contains(d.text(), part))
+				is.True(strings.Contains(d.logText(), part))
 			}
 		})
 	}
@@ -63,11 +63,11 @@
 	upstreams := []string{startUpstream(t), startUpstream(t)}
 	file := filepath.Join(t.TempDir(), "table.toml")
 	write := func(text string) { is.NoErr(os.WriteFile(file, []byte(text), 0o600)) }
-	write(tableOf(1, "", upstreams))
-	entry := start(t, "gullvaled", "entry", "--table", file, "--callers", "127.0.0.1:0", "--stop-millis", "1500")
-	callers := entry.field("listeners")["listeners"].([]any)[0].(string)
+	write(routeTable(1, "", upstreams))
+	entry := startProcess(t, "gullvaled", "entry", "--table", file, "--callers", "127.0.0.1:0", "--stop-millis", "1500")
+	callers := entry.waitField("listeners")["listeners"].([]any)[0].(string)
 	says := func(msg string, times int) func() bool {
-		return func() bool { return strings.Count(entry.text(), msg) >= times }
+		return func() bool { return strings.Count(entry.logText(), msg) >= times }
 	}
 	token := 0
 	ask := func(host, path, body string) (int, http.Header) {
@@ -92,14 +92,14 @@
 		status, _ := ask("kegs.example", "/ledger/x", "one keg")
 		is.Equal(status, http.StatusOK)
 	}
-	ran := func(i int) int { return len(runs(t, upstreams[i])[0]) }
+	ran := func(i int) int { return len(upstreamJournals(t, upstreams[i])[0]) }
 	is.True(ran(0) > 0 && ran(1) > 0)
 	status, _ := ask("kegs.example", "/other/", "one keg")
 	is.Equal(status, http.StatusNotFound)
 	status, _ = ask("kegs.example", "/ledger/x", strings.Repeat("k", 1001))
 	is.Equal(status, http.StatusRequestEntityTooLarge)
 
-	write(tableOf(2, `"erie-a"`, upstreams))
+	write(routeTable(2, `"erie-a"`, upstreams))
 	eventually(t, "the second table is in force", says("configuration in force", 2))
 	before := ran(0)
 	for range 20 {
@@ -108,23 +108,23 @@
 	}
 	is.Equal(ran(0), before)
 
-	write(strings.Replace(tableOf(3, "", upstreams), "Slots = 6", "Slots = many", 1))
+	write(strings.Replace(routeTable(3, "", upstreams), "Slots = 6", "Slots = many", 1))
 	eventually(t, "a wrong table is refused", says("changed table refused", 1))
-	write(tableOf(1, "", upstreams))
+	write(routeTable(1, "", upstreams))
 	entry.signal(syscall.SIGHUP)
 	eventually(t, "an older table is refused", says("table not newer", 1))
 	status, _ = ask("kegs.example", "/ledger/x", "one keg")
 	is.Equal(status, http.StatusOK)
 	is.Equal(ran(0), before)
 
-	write(tableOf(4, `"erie-a", "erie-b"`, upstreams))
+	write(routeTable(4, `"erie-a", "erie-b"`, upstreams))
 	eventually(t, "the fourth table is in force", says("configuration in force", 3))
 	status, header := ask("kegs.example", "/ledger/x", "one keg")
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.True(header.Get("Retry-After") != "")
 
 	entry.signal(syscall.SIGTERM)
-	is.Equal(entry.exit(), 0)
+	is.Equal(entry.waitExit(), 0)
 }
 
 // TestEntryAsksWhoseRequestsAre runs an entry whose table has an organisation: its key is
@@ -132,13 +132,13 @@
 func TestEntryAsksWhoseRequestsAre(t *testing.T) {
 	is := is.New(t)
 	var made struct{ Key, Digest string }
-	is.NoErr(json.Unmarshal([]byte(gullvaleInput(t, "", "-o", "json", "key")), &made))
-	is.Equal(strings.TrimSpace(gullvaleInput(t, made.Key+"\n", "key", "digest")), made.Digest)
+	is.NoErr(json.Unmarshal([]byte(runCommandWithInput(t, "", "-o", "json", "key")), &made))
+	is.Equal(strings.TrimSpace(runCommandWithInput(t, made.Key+"\n", "key", "digest")), made.Digest)
 
 	upstreams := []string{startUpstream(t), startUpstream(t)}
 	file := filepath.Join(t.TempDir(), "table.toml")
 	organisation := func(version int, keys string) string {
-		return tableOf(version, "", upstreams) + fmt.Sprintf(`[Organisation.brewery]
+		return routeTable(version, "", upstreams) + fmt.Sprintf(`[Organisation.brewery]
 Keys = [%s]
 PerSecond = 0.01
 Burst = 12
@@ -146,10 +146,10 @@
 	}
 	write := func(text string) { is.NoErr(os.WriteFile(file, []byte(text), 0o600)) }
 	write(organisation(1, fmt.Sprintf("%q", made.Digest)))
-	is.True(strings.Contains(gullvaleInput(t, "", "organisations", file), "brewery  rank 0, 0.01 a second, burst 12, anywhere, 1 keys"))
+	is.True(strings.Contains(runCommandWithInput(t, "", "organisations", file), "brewery  rank 0, 0.01 a second, burst 12, anywhere, 1 keys"))
 
-	entry := start(t, "gullvaled", "entry", "--table", file, "--callers", "127.0.0.1:0", "--stop-millis", "1500")
-	callers := entry.field("listeners")["listeners"].([]any)[0].(string)
+	entry := startProcess(t, "gullvaled", "entry", "--table", file, "--callers", "127.0.0.1:0", "--stop-millis", "1500")
+	callers := entry.waitField("listeners")["listeners"].([]any)[0].(string)
 	token := 0
 	ask := func(key string) int {
 		token++
@@ -175,14 +175,14 @@
 
 	write(organisation(2, ""))
 	eventually(t, "the key counts no more", func() bool { return ask(made.Key) == http.StatusUnauthorized })
-	is.True(!strings.Contains(entry.text(), made.Key))
+	is.True(!strings.Contains(entry.logText(), made.Key))
 	entry.signal(syscall.SIGTERM)
-	is.Equal(entry.exit(), 0)
+	is.Equal(entry.waitExit(), 0)
 }
 
-// gullvaleInput runs the command line with a text on standard input and returns what it
+// runCommandWithInput runs the command line with a text on standard input and returns what it
 // prints.
-func gullvaleInput(t *testing.T, input string, args ...string) string {
+func runCommandWithInput(t *testing.T, input string, args ...string) string {
 	t.Helper()
 	c := exec.Command(filepath.Join(binaries, "gullvale"), args...)
 	c.Stdin = strings.NewReader(input)
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -26,9 +26,9 @@
 // The faults of a proxy.
 const (
 	// silent swallows what flows in one direction and keeps the connection.
-	silentForward  = `{"name":"f","type":"timeout","stream":"upstream","attributes":{"timeout":0}}`
-	silentBackward = `{"name":"b","type":"timeout","stream":"downstream","attributes":{"timeout":0}}`
-	slowBoth       = `{"name":"s","type":"latency","stream":"downstream","attributes":{"latency":300}}`
+	dropForward  = `{"name":"f","type":"timeout","stream":"upstream","attributes":{"timeout":0}}`
+	dropBackward = `{"name":"b","type":"timeout","stream":"downstream","attributes":{"timeout":0}}`
+	slowBackward = `{"name":"s","type":"latency","stream":"downstream","attributes":{"latency":300}}`
 )
 
 type (
@@ -58,19 +58,19 @@
 	return p
 }
 
-func (p *proxy) add(toxic string) {
+func (p *proxy) addToxic(toxic string) {
 	p.t.Helper()
 	if _, err := p.Toxics.AddToxicJson(strings.NewReader(toxic)); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *proxy) heal() {
+func (p *proxy) removeToxics() {
 	p.Toxics.ResetToxics(context.Background())
 }
 
-// startBehind starts a daemon whose links go through a proxy.
-func startBehind(t testing.TB, o daemonOptions) (*daemon, *proxy) {
+// startBehindProxy starts a daemon whose links go through a proxy.
+func startBehindProxy(t testing.TB, o daemonOptions) (*daemon, *proxy) {
 	t.Helper()
 	p := newProxy(t, "127.0.0.1:1")
 	o.advertise = p.Listen
@@ -117,20 +117,20 @@
 	return 0
 }
 
-// flows waits until more requests are answered.
-func (x *traffic) flows() {
+// waitProgress waits until more requests are answered.
+func (x *traffic) waitProgress() {
 	x.t.Helper()
 	before := x.answered()
 	eventually(x.t, "requests are answered", func() bool { return x.answered() > before+20 })
 }
 
-// judge ends the traffic and compares its accounts with the journals.
-func (x *traffic) judge(upstreams ...string) caller.Account {
+// stopAndVerify ends the traffic and compares its accounts with the journals.
+func (x *traffic) stopAndVerify(upstreams ...string) caller.Account {
 	x.t.Helper()
 	x.cancel()
 	x.done.Wait()
 	x.load.Wait()
-	if v := x.load.Judge(runs(x.t, upstreams...)); v.Broken() {
+	if v := x.load.CheckJournals(upstreamJournals(x.t, upstreams...)); v.Violated() {
 		x.t.Fatalf("promises broken: %+v", v)
 	}
 	a := x.load.Accounts()[0]
@@ -138,44 +138,44 @@
 	return a
 }
 
-// twoUpstreams has two upstreams at one site.
-func twoUpstreams(t *testing.T) (text string, addresses []string) {
+// startTwoUpstreams has two upstreams at one site.
+func startTwoUpstreams(t *testing.T) (text string, addresses []string) {
 	t.Helper()
 	addresses = []string{startUpstream(t), startUpstream(t)}
-	return fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%s]\nSlots = 6\n", quoted(addresses)), addresses
+	return fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%s]\nSlots = 6\n", quoteList(addresses)), addresses
 }
 
 // totalSlots adds the slots that daemons own.
 func totalSlots(daemons ...*daemon) float64 {
 	var n float64
 	for _, d := range daemons {
-		n += float64(d.slots())
+		n += float64(d.ownedSlots())
 	}
 	return n
 }
 
-// state returns the status of a daemon, and an empty one while it has none.
-func (d *daemon) state() operator.Status {
+// status returns the status of a daemon, and an empty one while it has none.
+func (d *daemon) status() operator.Status {
 	var st operator.Status
-	d.call(http.MethodGet, operator.PathStatus, nil, &st)
+	d.callOperator(http.MethodGet, operator.PathStatus, nil, &st)
 	return st
 }
 
-// slots returns how many slots a daemon owns now.
-func (d *daemon) slots() int {
+// ownedSlots returns how many slots a daemon owns now.
+func (d *daemon) ownedSlots() int {
 	n := 0
-	for _, o := range d.state().Owned {
+	for _, o := range d.status().Owned {
 		n += o.Slots
 	}
 	return n
 }
 
-func leadOf(t *testing.T, daemons ...*daemon) (lead *daemon, others []*daemon) {
+func waitLeader(t *testing.T, daemons ...*daemon) (lead *daemon, others []*daemon) {
 	t.Helper()
 	eventually(t, "one daemon leads", func() bool {
 		lead, others = nil, nil
 		for _, d := range daemons {
-			if d.state().Lead {
+			if d.status().Lead {
 				lead = d
 			} else {
 				others = append(others, d)
@@ -186,24 +186,24 @@
 	return lead, others
 }
 
-// set makes a change through a daemon and waits until it is in force on members.
-func (d *daemon) set(members int, value resolver.Value) recorder.Number {
+// setAndWait makes a change through a daemon and waits until it is in force on members.
+func (d *daemon) setAndWait(members int, value resolver.Value) recorder.Number {
 	d.t.Helper()
 	var a operator.ChangeAnswer
 	eventually(d.t, "the change is accepted", func() bool {
-		return d.call(http.MethodPost, operator.PathChange, operator.ChangeRequest{
+		return d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{
 			Edits: []resolver.Edit{{Path: "/", Key: resolver.KeyQueueLength, Value: value}},
 		}, &a) == http.StatusOK
 	})
 	eventually(d.t, "the change is in force", func() bool {
 		var f operator.InForceAnswer
 		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, a.Number)
-		return d.call(http.MethodGet, path, nil, &f) == http.StatusOK && f.Members == members && f.InForce == members
+		return d.callOperator(http.MethodGet, path, nil, &f) == http.StatusOK && f.Members == members && f.InForce == members
 	})
 	return a.Number
 }
 
-func trio(t testing.TB, address string) []*daemon {
+func startThreeDaemons(t testing.TB, address string) []*daemon {
 	t.Helper()
 	var all []*daemon
 	for i := range 3 {
@@ -212,12 +212,12 @@
 	return all
 }
 
-// ownedTrio has three daemons that own all slots of two upstreams.
-func ownedTrio(t *testing.T, address string) (all []*daemon, upstreams []string) {
+// startThreeOwners has three daemons that own all slots of two upstreams.
+func startThreeOwners(t *testing.T, address string) (all []*daemon, upstreams []string) {
 	t.Helper()
-	text, upstreams := twoUpstreams(t)
-	all = trio(t, address)
-	all[0].apply(3, text)
+	text, upstreams := startTwoUpstreams(t)
+	all = startThreeDaemons(t, address)
+	all[0].applySettings(3, text)
 	eventually(t, "all slots are owned", func() bool { return totalSlots(all...) == 12 })
 	return all, upstreams
 }
@@ -228,22 +228,22 @@
 func TestPlatformOutage(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
-	all, upstreams := ownedTrio(t, address)
+	all, upstreams := startThreeOwners(t, address)
 	x := startTraffic(t, 100, all...)
-	x.flows()
+	x.waitProgress()
 
-	fault(t, address, platform.Faults{Down: true})
+	setFaults(t, address, platform.Faults{Down: true})
 	// Longer than any lease and membership holds.
 	eventually(t, "the outage is noticed", func() bool {
-		return !all[0].state().Platform
+		return !all[0].status().Platform
 	})
 	time.Sleep(12 * time.Second) // the fault itself lasts: nothing is awaited here
-	x.flows()
+	x.waitProgress()
 	is.Equal(totalSlots(all...), 12.0)
 
 	victim := all[0]
 	for _, d := range all {
-		if d.slots() > 0 {
+		if d.ownedSlots() > 0 {
 			victim = d
 		}
 	}
@@ -257,11 +257,11 @@
 	began := time.Now()
 	eventually(t, "the killed owner's upstreams are covered", func() bool { return totalSlots(rest...) == 12 })
 	t.Logf("covered after %s", time.Since(began).Round(time.Millisecond))
-	x.flows()
+	x.waitProgress()
 
 	began = time.Now()
 	fresh := startDaemon(t, daemonOptions{name: "erie-9", region: "erie", domain: "a", platform: address, seeds: []string{rest[0].links}})
-	fresh.ready()
+	fresh.waitReady()
 	eventually(t, "the new daemon forwards", func() bool {
 		p, err := fresh.send(context.Background(), http.MethodGet, "keg-ledger", "/x?Token=fresh", nil)
 		if err != nil {
@@ -272,10 +272,10 @@
 	})
 	t.Logf("a new daemon forwards after %s without the platform", time.Since(began).Round(time.Millisecond))
 
-	fault(t, address, platform.Faults{})
-	rest[0].set(3, "33")
-	x.flows()
-	a := x.judge(upstreams...)
+	setFaults(t, address, platform.Faults{})
+	rest[0].setAndWait(3, "33")
+	x.waitProgress()
+	a := x.stopAndVerify(upstreams...)
 	is.True(a.Answered > a.Requests*9/10)
 }
 
@@ -284,27 +284,27 @@
 // meanwhile, and the new daemon comes up from its peers.
 func TestDomainRestartsInOutage(t *testing.T) {
 	address := startPlatform(t)
-	text, upstreams := twoUpstreams(t)
+	text, upstreams := startTwoUpstreams(t)
 	a := startDaemon(t, daemonOptions{name: "erie-a", region: "erie", domain: "a", platform: address})
 	b := startDaemon(t, daemonOptions{name: "erie-b", region: "erie", domain: "b", platform: address})
-	a.apply(2, text)
-	eventually(t, "the domain's own daemon owns its upstreams", func() bool { return a.slots() == 12 })
+	a.applySettings(2, text)
+	eventually(t, "the domain's own daemon owns its upstreams", func() bool { return a.ownedSlots() == 12 })
 	x := startTraffic(t, 100, a, b)
-	x.flows()
-	fault(t, address, platform.Faults{Down: true})
+	x.waitProgress()
+	setFaults(t, address, platform.Faults{Down: true})
 	a.signal(syscall.SIGKILL)
-	a.exit()
-	eventually(t, "the region covers the domain", func() bool { return b.slots() == 12 })
-	x.flows()
+	a.waitExit()
+	eventually(t, "the region covers the domain", func() bool { return b.ownedSlots() == 12 })
+	x.waitProgress()
 	again := startDaemon(t, daemonOptions{name: "erie-a", region: "erie", domain: "a", platform: address,
 		callers: a.callers, links: a.links, operators: a.operators, seeds: []string{b.links}})
-	again.ready()
-	x.flows()
-	fault(t, address, platform.Faults{})
-	eventually(t, "the domain has its upstreams back", func() bool { return again.slots() == 12 && b.slots() == 0 })
-	again.set(2, "55")
-	x.flows()
-	x.judge(upstreams...)
+	again.waitReady()
+	x.waitProgress()
+	setFaults(t, address, platform.Faults{})
+	eventually(t, "the domain has its upstreams back", func() bool { return again.ownedSlots() == 12 && b.ownedSlots() == 0 })
+	again.setAndWait(2, "55")
+	x.waitProgress()
+	x.stopAndVerify(upstreams...)
 }
 
 // TestCutOff takes the platform and all links from one daemon only. It says so,
@@ -312,33 +312,33 @@
 func TestCutOff(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
-	text, _ := twoUpstreams(t)
+	text, _ := startTwoUpstreams(t)
 	own := newProxy(t, strings.TrimPrefix(address, "http://"))
-	a, pa := startBehind(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: "http://" + own.Listen})
-	b, pb := startBehind(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
-	b.apply(2, text)
-	before := a.state().Settings
+	a, pa := startBehindProxy(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: "http://" + own.Listen})
+	b, pb := startBehindProxy(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
+	b.applySettings(2, text)
+	before := a.status().Settings
 	for _, p := range []*proxy{own, pa, pb} {
 		p.Stop()
 	}
 	eventually(t, "it knows that it is cut off", func() bool {
-		st := a.state()
+		st := a.status()
 		return !st.Platform && !st.LeadReached
 	})
-	eventually(t, "the other is alone on the roster", func() bool { return b.state().Members == 1 })
-	n := b.set(1, "31")
+	eventually(t, "the other is alone on the roster", func() bool { return b.status().Members == 1 })
+	n := b.setAndWait(1, "31")
 	p, err := http.Get("http://" + a.callers + "/Lookup?Service=keg-ledger")
 	is.NoErr(err)
 	p.Body.Close()
 	is.Equal(p.StatusCode, http.StatusOK) // it serves what it has
-	is.Equal(a.state().Settings, before)
+	is.Equal(a.status().Settings, before)
 	for _, p := range []*proxy{own, pa, pb} {
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	eventually(t, "it has caught up", func() bool { return a.state().Settings >= n && a.state().Valid })
-	b.set(2, "32")
+	eventually(t, "it has caught up", func() bool { return a.status().Settings >= n && a.status().Valid })
+	b.setAndWait(2, "32")
 }
 
 // TestLeadPaused stops the lead for longer than its lease, and lets it go on.
@@ -346,46 +346,46 @@
 func TestLeadPaused(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
-	text, upstreams := twoUpstreams(t)
-	all := trio(t, address)
-	all[0].apply(3, text)
+	text, upstreams := startTwoUpstreams(t)
+	all := startThreeDaemons(t, address)
+	all[0].applySettings(3, text)
 	x := startTraffic(t, 50, all...)
-	lead, others := leadOf(t, all...)
-	plan := lead.state().Plan
+	lead, others := waitLeader(t, all...)
+	plan := lead.status().Plan
 	lead.signal(syscall.SIGSTOP)
 	began := time.Now()
-	second, _ := leadOf(t, others...)
+	second, _ := waitLeader(t, others...)
 	t.Logf("another leads after %s", time.Since(began).Round(time.Millisecond))
-	eventually(t, "another planner seals the plan", func() bool { return second.state().Plan > plan })
+	eventually(t, "another planner seals the plan", func() bool { return second.status().Plan > plan })
 	t.Logf("another plans after %s", time.Since(began).Round(time.Millisecond))
 	eventually(t, "the paused member is off the roster", func() bool {
-		return second.state().Members == 2
+		return second.status().Members == 2
 	})
 	t.Logf("off the roster after %s", time.Since(began).Round(time.Millisecond))
-	n := second.set(2, "21")
+	n := second.setAndWait(2, "21")
 	lead.signal(syscall.SIGCONT)
 	eventually(t, "the paused daemon is a member again", func() bool {
-		return lead.state().Valid && !lead.state().Lead
+		return lead.status().Valid && !lead.status().Lead
 	})
-	is.True(second.set(3, "22") > n)
-	is.True(second.state().Lead)
-	x.flows()
-	x.judge(upstreams...)
+	is.True(second.setAndWait(3, "22") > n)
+	is.True(second.status().Lead)
+	x.waitProgress()
+	x.stopAndVerify(upstreams...)
 }
 
 // TestOwnerPaused stops an owner while it has requests. Its upstreams go to
 // others once it has lapsed, and nothing runs twice when it goes on.
 func TestOwnerPaused(t *testing.T) {
 	address := startPlatform(t)
-	all, upstreams := ownedTrio(t, address)
+	all, upstreams := startThreeOwners(t, address)
 	owner := all[0]
 	for _, d := range all {
-		if d.slots() > owner.slots() {
+		if d.ownedSlots() > owner.ownedSlots() {
 			owner = d
 		}
 	}
 	x := startTraffic(t, 100, all...)
-	x.flows()
+	x.waitProgress()
 	owner.signal(syscall.SIGSTOP)
 	var rest []*daemon
 	for _, d := range all {
@@ -396,42 +396,42 @@
 	began := time.Now()
 	eventually(t, "its upstreams are covered", func() bool { return totalSlots(rest...) == 12 })
 	t.Logf("covered after %s", time.Since(began).Round(time.Millisecond))
-	x.flows()
+	x.waitProgress()
 	owner.signal(syscall.SIGCONT)
-	eventually(t, "it is a member again", func() bool { return owner.state().Valid })
+	eventually(t, "it is a member again", func() bool { return owner.status().Valid })
 	eventually(t, "all slots are owned again", func() bool { return totalSlots(all...) == 12 })
-	x.flows()
-	x.judge(upstreams...)
+	x.waitProgress()
+	x.stopAndVerify(upstreams...)
 }
 
 // TestLinksFail lets the links to one daemon be silent in either direction, slow,
 // and cut, under load.
 func TestLinksFail(t *testing.T) {
 	address := startPlatform(t)
-	text, upstreams := twoUpstreams(t)
-	a, pa := startBehind(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	b, pb := startBehind(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
-	a.apply(2, text)
+	text, upstreams := startTwoUpstreams(t)
+	a, pa := startBehindProxy(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
+	b, pb := startBehindProxy(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
+	a.applySettings(2, text)
 	eventually(t, "all slots are owned", func() bool { return totalSlots(a, b) == 12 })
 	x := startTraffic(t, 100, a, b)
-	x.flows()
+	x.waitProgress()
 	for _, p := range []*proxy{pa, pb} {
-		for _, toxic := range []string{silentForward, silentBackward, slowBoth} {
-			p.add(toxic)
-			x.flows()
-			p.heal()
-			x.flows()
+		for _, toxic := range []string{dropForward, dropBackward, slowBackward} {
+			p.addToxic(toxic)
+			x.waitProgress()
+			p.removeToxics()
+			x.waitProgress()
 		}
 		p.Stop()
-		x.flows()
+		x.waitProgress()
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		x.flows()
+		x.waitProgress()
 	}
 	eventually(t, "both are members and own all slots", func() bool { return totalSlots(a, b) == 12 })
-	a.set(2, "44")
-	x.judge(upstreams...)
+	a.setAndWait(2, "44")
+	x.stopAndVerify(upstreams...)
 }
 
 // TestOwnerNotDialled refuses all links to the owner of the only upstream. The other
@@ -439,12 +439,12 @@
 func TestOwnerNotDialled(t *testing.T) {
 	address := startPlatform(t)
 	upstream := startUpstream(t)
-	a, pa := startBehind(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	b, pb := startBehind(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
-	a.apply(2, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%s]\nSlots = 6\n", quoted([]string{upstream})))
+	a, pa := startBehindProxy(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
+	b, pb := startBehindProxy(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
+	a.applySettings(2, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%s]\nSlots = 6\n", quoteList([]string{upstream})))
 	eventually(t, "all slots are owned", func() bool { return totalSlots(a, b) == 6 })
 	entry, proxy := b, pa
-	if a.slots() == 0 {
+	if a.ownedSlots() == 0 {
 		entry, proxy = a, pb
 	}
 	proxy.Stop()
@@ -464,8 +464,8 @@
 	}
 	// Longer than a lead waits for heartbeats: nothing is awaited here.
 	time.Sleep(leader.Silence.Duration() + time.Second)
-	eventually(t, "both are members", func() bool { return a.state().Members == 2 && b.state().Valid && a.state().Valid })
-	a.set(2, "44")
+	eventually(t, "both are members", func() bool { return a.status().Members == 2 && b.status().Valid && a.status().Valid })
+	a.setAndWait(2, "44")
 	if !answers() {
 		t.Fatal("not answered after a while")
 	}
@@ -476,25 +476,25 @@
 func TestReplacedVM(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
-	text, upstreams := twoUpstreams(t)
-	all := trio(t, address)
-	all[0].apply(3, text)
+	text, upstreams := startTwoUpstreams(t)
+	all := startThreeDaemons(t, address)
+	all[0].applySettings(3, text)
 	x := startTraffic(t, 50, all...)
-	x.flows()
+	x.waitProgress()
 	old := all[2]
 	old.signal(syscall.SIGKILL)
-	old.exit()
+	old.waitExit()
 	began := time.Now()
 	again := startDaemon(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address,
 		callers: old.callers, links: old.links, operators: old.operators})
-	again.ready()
+	again.waitReady()
 	eventually(t, "three members, all slots owned", func() bool {
-		return all[0].state().Members == 3 && again.state().Valid && totalSlots(all[0], all[1], again) == 12
+		return all[0].status().Members == 3 && again.status().Valid && totalSlots(all[0], all[1], again) == 12
 	})
 	t.Logf("whole again after %s", time.Since(began).Round(time.Millisecond))
-	all[0].set(3, "12")
-	x.flows()
-	a := x.judge(upstreams...)
+	all[0].setAndWait(3, "12")
+	x.waitProgress()
+	a := x.stopAndVerify(upstreams...)
 	// Requests under way at the killed daemon may have run: at 50 a second of
 	// some 10 ms, one or two. No other is lost, however long the roster takes:
 	// first tries of its keys go elsewhere.
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -27,14 +27,14 @@
 const (
 	token = "a-token-of-the-tests"
 
-	// patience bounds every wait for something that must come. It is no
+	// waitTimeout bounds every wait for something that must come. It is no
 	// measure: a test that runs into it has failed.
-	patience = 60 * time.Second
-	glance   = 20 * time.Millisecond
+	waitTimeout  = 60 * time.Second
+	pollInterval = 20 * time.Millisecond
 
-	// dumpTime bounds how long a process of a failed test may take to print its
+	// dumpTimeout bounds how long a process of a failed test may take to print its
 	// goroutines.
-	dumpTime = 5 * time.Second
+	dumpTimeout = 5 * time.Second
 )
 
 var binaries string
@@ -70,10 +70,10 @@
 		// advertise is the address for links that others are told, "" for
 		// the one listened on.
 		advertise string
-		// callers, links and operators are listened on, "" for any port.
+		// startCallers, links and operators are listened on, "" for any port.
 		callers, links, operators string
-		// more is further lines of the settings.
-		more string
+		// extraSettings is further lines of the settings.
+		extraSettings string
 	}
 )
 
@@ -95,8 +95,8 @@
 	os.Exit(code)
 }
 
-// start runs a binary until the test ends.
-func start(t testing.TB, name string, args ...string) *process {
+// startProcess runs a binary until the test ends.
+func startProcess(t testing.TB, name string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, exited: make(chan struct{})}
 	p.cmd = exec.Command(filepath.Join(binaries, name), args...)
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	go p.run()
-	t.Cleanup(p.end)
+	t.Cleanup(p.kill)
 	return p
 }
 
@@ -115,27 +115,27 @@
 	close(p.exited)
 }
 
-func (p *process) end() {
+func (p *process) kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	if p.t.Failed() {
-		p.dump()
+		p.dumpGoroutines()
 	}
 	_ = p.cmd.Process.Kill()
 	<-p.exited
-	if strings.Contains(p.text(), "DATA RACE") {
+	if strings.Contains(p.logText(), "DATA RACE") {
 		p.t.Errorf("%s has a data race", p.name)
 	}
 	if p.t.Failed() {
-		p.t.Logf("output of %s:\n%s", p.name, p.text())
+		p.t.Logf("output of %s:\n%s", p.name, p.logText())
 	}
 }
 
-// dump has the process print what its goroutines wait for, and end.
-func (p *process) dump() {
+// dumpGoroutines has the process print what its goroutines wait for, and end.
+func (p *process) dumpGoroutines() {
 	_ = p.cmd.Process.Signal(syscall.SIGQUIT)
 	select {
 	case <-p.exited:
-	case <-time.After(dumpTime):
+	case <-time.After(dumpTimeout):
 	}
 }
 
@@ -146,7 +146,7 @@
 	return p.output.Write(b)
 }
 
-func (p *process) text() string {
+func (p *process) logText() string {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.output.String()
@@ -159,23 +159,23 @@
 	}
 }
 
-// exit waits for the process and returns its exit code.
-func (p *process) exit() int {
+// waitExit waits for the process and returns its exit code.
+func (p *process) waitExit() int {
 	p.t.Helper()
 	select {
 	case <-p.exited:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		p.t.Fatalf("%s did not exit", p.name)
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// field waits for a JSON line that has the field and returns the line.
-func (p *process) field(name string) map[string]any {
+// waitField waits for a JSON line that has the field and returns the line.
+func (p *process) waitField(name string) map[string]any {
 	p.t.Helper()
 	var found map[string]any
 	eventually(p.t, p.name+" prints "+name, func() bool {
-		s := bufio.NewScanner(strings.NewReader(p.text()))
+		s := bufio.NewScanner(strings.NewReader(p.logText()))
 		for s.Scan() {
 			var line map[string]any
 			if json.Unmarshal(s.Bytes(), &line) == nil && line[name] != nil {
@@ -191,25 +191,25 @@
 // eventually waits until a condition holds.
 func eventually(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for !done() {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
-		time.Sleep(glance)
+		time.Sleep(pollInterval)
 	}
 }
 
 func startPlatform(t testing.TB) string {
 	t.Helper()
-	p := start(t, "gullvale-standin", "platform")
-	return "http://" + p.field("Address")["Address"].(string)
+	p := startProcess(t, "gullvale-standin", "platform")
+	return "http://" + p.waitField("Address")["Address"].(string)
 }
 
 func startUpstream(t testing.TB, args ...string) string {
 	t.Helper()
-	p := start(t, "gullvale-standin", append([]string{"upstream", "--service-millis", "5"}, args...)...)
-	return p.field("Address")["Address"].(string)
+	p := startProcess(t, "gullvale-standin", append([]string{"upstream", "--service-millis", "5"}, args...)...)
+	return p.waitField("Address")["Address"].(string)
 }
 
 func startDaemon(t testing.TB, o daemonOptions) *daemon {
@@ -230,13 +230,13 @@
 
 [Tokens]
 anna = "administer %s"
-`, o.name, o.region, o.domain, anyPort(o.callers), anyPort(o.links), anyPort(o.operators),
-		quoted(o.seeds), advertised(o.advertise), o.more, o.platform, operator.HashToken(token))
+`, o.name, o.region, o.domain, orAnyPort(o.callers), orAnyPort(o.links), orAnyPort(o.operators),
+		quoteList(o.seeds), advertiseSetting(o.advertise), o.extraSettings, o.platform, operator.HashToken(token))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d := &daemon{process: start(t, "gullvaled", "--settings", file)}
-	line := d.field("callers")
+	d := &daemon{process: startProcess(t, "gullvaled", "--settings", file)}
+	line := d.waitField("callers")
 	d.callers = line["callers"].(string)
 	d.links = line["links"].(string)
 	d.linksBound = line["linksBound"].(string)
@@ -244,21 +244,21 @@
 	return d
 }
 
-func anyPort(address string) string {
+func orAnyPort(address string) string {
 	if address == "" {
 		return "127.0.0.1:0"
 	}
 	return address
 }
 
-func advertised(links string) string {
+func advertiseSetting(links string) string {
 	if links == "" {
 		return ""
 	}
 	return fmt.Sprintf("Advertise.Links = %q", links)
 }
 
-func quoted(list []string) string {
+func quoteList(list []string) string {
 	var out []string
 	for _, s := range list {
 		out = append(out, fmt.Sprintf("%q", s))
@@ -266,8 +266,8 @@
 	return strings.Join(out, ", ")
 }
 
-// call makes one call of an operator and decodes the answer.
-func (d *daemon) call(method, path string, body, answer any) int {
+// callOperator makes one call of an operator and decodes the answer.
+func (d *daemon) callOperator(method, path string, body, answer any) int {
 	d.t.Helper()
 	b, err := json.Marshal(body)
 	if err != nil {
@@ -314,8 +314,8 @@
 	return sum
 }
 
-// ready waits until the daemon is healthy.
-func (d *daemon) ready() {
+// waitReady waits until the daemon is healthy.
+func (d *daemon) waitReady() {
 	d.t.Helper()
 	eventually(d.t, d.name+" is healthy", func() bool {
 		p, err := http.Get("http://" + d.operators + operator.PathHealth)
@@ -327,22 +327,22 @@
 	})
 }
 
-// apply replaces the whole tree and waits until it is in force everywhere.
-func (d *daemon) apply(members int, text string) {
+// applySettings replaces the whole tree and waits until it is in force everywhere.
+func (d *daemon) applySettings(members int, text string) {
 	d.t.Helper()
 	is := is.New(d.t)
-	d.ready()
+	d.waitReady()
 	var a operator.ChangeAnswer
-	is.Equal(d.call(http.MethodPost, operator.PathChange, operator.ChangeRequest{TOML: text}, &a), http.StatusOK)
+	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{TOML: text}, &a), http.StatusOK)
 	eventually(d.t, "settings are in force on all", func() bool {
 		var f operator.InForceAnswer
 		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, a.Number)
-		return d.call(http.MethodGet, path, nil, &f) == http.StatusOK && f.Members == members && f.InForce == members
+		return d.callOperator(http.MethodGet, path, nil, &f) == http.StatusOK && f.Members == members && f.InForce == members
 	})
 }
 
-// fault sets what goes wrong at a stand-in platform.
-func fault(t testing.TB, address string, f platform.Faults) {
+// setFaults sets what goes wrong at a stand-in platform.
+func setFaults(t testing.TB, address string, f platform.Faults) {
 	t.Helper()
 	b, err := json.Marshal(f)
 	if err != nil {
@@ -355,8 +355,8 @@
 	p.Body.Close()
 }
 
-// counts returns what a stand-in upstream did.
-func counts(t testing.TB, address string) server.Counts {
+// upstreamCounts returns what a stand-in upstream did.
+func upstreamCounts(t testing.TB, address string) server.Counts {
 	t.Helper()
 	p, err := http.Get("http://" + address + "/Journal")
 	if err != nil {
@@ -370,12 +370,12 @@
 	return c
 }
 
-// runs returns how often each token ran, by the journals of all upstreams.
-func runs(t testing.TB, upstreams ...string) []map[string]int {
+// upstreamJournals returns how often each token ran, by the journals of all upstreams.
+func upstreamJournals(t testing.TB, upstreams ...string) []map[string]int {
 	t.Helper()
 	var out []map[string]int
 	for _, u := range upstreams {
-		out = append(out, counts(t, u).Journal)
+		out = append(out, upstreamCounts(t, u).Journal)
 	}
 	return out
 }
--- a/test/keys_test.go
+++ b/test/keys_test.go
@@ -16,14 +16,14 @@
 	"github.com/gullvale/gullvale/internal/request/forwarder"
 )
 
-// post sends a POST with a key and returns the outcome, the body, and whether the
+// postWithKey sends a POST with a key and returns the outcome, the body, and whether the
 // answer was kept from an earlier try.
-func (d *daemon) post(key string) (outcome, body string, replayed bool, err error) {
-	return d.postAs(key, "")
+func (d *daemon) postWithKey(key string) (outcome, body string, replayed bool, err error) {
+	return d.postAttempt(key, "")
 }
 
-// postAs says first that this is the first try of the key, when it is not "".
-func (d *daemon) postAs(key, first string) (outcome, body string, replayed bool, err error) {
+// postAttempt says first that this is the first try of the key, when it is not "".
+func (d *daemon) postAttempt(key, first string) (outcome, body string, replayed bool, err error) {
 	q, err := http.NewRequest(http.MethodPost, "http://"+d.callers+"/x?Bytes=40&Token="+key, strings.NewReader("one keg back"))
 	if err != nil {
 		return "", "", false, err
@@ -46,15 +46,15 @@
 // known not to have run.
 func TestFirstTryOfLostHome(t *testing.T) {
 	is := is.New(t)
-	text, _ := twoUpstreams(t)
+	text, _ := startTwoUpstreams(t)
 	d := startDaemon(t, daemonOptions{name: "erie-0", region: "erie", domain: "a", platform: startPlatform(t)})
-	d.apply(1, text)
+	d.applySettings(1, text)
 	const key = "00000000000000aa.1"
 	for _, c := range []struct {
 		first string
 		want  string
 	}{{"", "unknown"}, {"1", "not-run"}} {
-		outcome, _, _, err := d.postAs(key, c.first)
+		outcome, _, _, err := d.postAttempt(key, c.first)
 		is.NoErr(err)
 		is.Equal(outcome, c.want)
 	}
@@ -66,7 +66,7 @@
 func TestKeysRunOnce(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
-	all, upstreams := ownedTrio(t, address)
+	all, upstreams := startThreeOwners(t, address)
 	var keys []string
 	for i := range 20 {
 		keys = append(keys, fmt.Sprint("deposit-", i))
@@ -81,7 +81,7 @@
 				done.Add(1)
 				go func() {
 					defer done.Done()
-					outcome, body, replayed, err := d.post(key)
+					outcome, body, replayed, err := d.postWithKey(key)
 					switch {
 					case err != nil:
 						t.Errorf("%s: %v", key, err)
@@ -104,7 +104,7 @@
 	}
 	check := func() {
 		total := map[string]int{}
-		for _, journal := range runs(t, upstreams...) {
+		for _, journal := range upstreamJournals(t, upstreams...) {
 			for token, n := range journal {
 				total[token] += n
 			}
@@ -121,7 +121,7 @@
 	victim, rest := all[0], all[1:]
 	gone := incarnationOf(t, victim)
 	victim.signal(syscall.SIGKILL)
-	eventually(t, "it is off the roster", func() bool { return rest[0].state().Members == 2 && rest[1].state().Members == 2 })
+	eventually(t, "it is off the roster", func() bool { return rest[0].status().Members == 2 && rest[1].status().Members == 2 })
 	eventually(t, "all slots are owned", func() bool { return totalSlots(rest...) == 12 })
 	round(rest)
 	check()
@@ -143,5 +143,5 @@
 
 func incarnationOf(t *testing.T, d *daemon) string {
 	t.Helper()
-	return d.field("incarnation")["incarnation"].(string)
+	return d.waitField("incarnation")["incarnation"].(string)
 }
--- a/test/link_limit_test.go
+++ b/test/link_limit_test.go
@@ -19,22 +19,22 @@
 	for _, rate := range []int{0, 1500000, 1000000} {
 		b.Run(fmt.Sprint("limit=", rate), func(b *testing.B) {
 			address := startPlatform(b)
-			far, p := startBehind(b, daemonOptions{name: "michigan-a", region: "michigan", domain: "a", platform: address})
+			far, p := startBehindProxy(b, daemonOptions{name: "michigan-a", region: "michigan", domain: "a", platform: address})
 			near := startDaemon(b, daemonOptions{name: "erie-a", region: "erie", domain: "a", platform: address})
-			far.apply(2, fmt.Sprintf("ExportBytesPerSecond = %d\n[Region.michigan.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 20\n"+
+			far.applySettings(2, fmt.Sprintf("ExportBytesPerSecond = %d\n[Region.michigan.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 20\n"+
 				"[Region.michigan.Domain.a.Service.manifest-depot]\nUpstreams = [%q]\nSlots = 20\nClass = \"export\"\n",
 				rate, startUpstream(b), startUpstream(b)))
 			eventually(b, "all slots are owned", func() bool { return totalSlots(far) == 40 })
-			p.add(fmt.Sprintf(`{"type":"bandwidth","stream":"downstream","attributes":{"rate":%d}}`, link))
+			p.addToxic(fmt.Sprintf(`{"type":"bandwidth","stream":"downstream","attributes":{"rate":%d}}`, link))
 			for b.Loop() {
-				mixed(b, near)
+				runMixedLoad(b, near)
 			}
 		})
 	}
 }
 
-// mixed drives both kinds of requests at one entry and reports their latency.
-func mixed(b *testing.B, entry *daemon) {
+// runMixedLoad drives both kinds of requests at one entry and reports their latency.
+func runMixedLoad(b *testing.B, entry *daemon) {
 	b.Helper()
 	// Look-ups name entries near the upstreams; these callers know one entry only.
 	one := func(ctx context.Context, network, _ string) (net.Conn, error) {
--- a/test/loss_test.go
+++ b/test/loss_test.go
@@ -19,7 +19,7 @@
 
 // place is one failure domain: a daemon, an upstream whose journal outlives it, and
 // the callers of its blocks.
-type place struct {
+type failureDomain struct {
 	region, domain string
 	block          string
 	daemon         *daemon
@@ -28,33 +28,33 @@
 	load           *caller.Load
 }
 
-// lose ends everything in the place at once.
-func (p *place) lose() {
-	p.loseUpstream()
-	p.daemon.end()
+// fail ends everything in the place at once.
+func (p *failureDomain) fail() {
+	p.failUpstream()
+	p.daemon.kill()
 }
 
-func (p *place) loseUpstream() {
+func (p *failureDomain) failUpstream() {
 	p.http.Listener.Close()
 	p.http.CloseClientConnections()
 }
 
-// startPlaces starts failure domains and gives each a block of callers.
-func startPlaces(t *testing.T, slots int, names ...string) []*place {
+// startDomains starts failure domains and gives each a block of callers.
+func startDomains(t *testing.T, slots int, names ...string) []*failureDomain {
 	t.Helper()
-	return startPlacesServing(t, slots, 5, names...)
+	return startDomainsWithServiceTime(t, slots, 5, names...)
 }
 
-// startPlacesServing is startPlaces with upstreams that take a mean time in milliseconds.
-func startPlacesServing(t *testing.T, slots int, mean float64, names ...string) []*place {
+// startDomainsWithServiceTime is startDomains with upstreams that take a mean time in milliseconds.
+func startDomainsWithServiceTime(t *testing.T, slots int, mean float64, names ...string) []*failureDomain {
 	t.Helper()
 	address := startPlatform(t)
-	var all []*place
+	var all []*failureDomain
 	var tree, blocks strings.Builder
 	for i, n := range names {
 		region, domain, _ := strings.Cut(n, "/")
 		s := &server.Server{Slots: slots, ServiceMillis: mean}
-		p := &place{region: region, domain: domain, block: fmt.Sprintf("10.%d.0.1", i), server: s, http: httptest.NewServer(s), load: &caller.Load{}}
+		p := &failureDomain{region: region, domain: domain, block: fmt.Sprintf("10.%d.0.1", i), server: s, http: httptest.NewServer(s), load: &caller.Load{}}
 		t.Cleanup(p.http.Close)
 		p.daemon = startDaemon(t, daemonOptions{name: region + "-" + domain, region: region, domain: domain, platform: address})
 		fmt.Fprintf(&tree, "[Region.%s.Domain.%s.Service.keg-ledger]\nUpstreams = [%q]\nSlots = %d\n", region, domain, p.http.Listener.Addr(), slots)
@@ -62,7 +62,7 @@
 		all = append(all, p)
 	}
 	first := all[0].daemon
-	first.ready()
+	first.waitReady()
 	q, err := http.NewRequest(http.MethodPost, "http://"+first.operators+operator.PathBlocks+"?Name=places", strings.NewReader(blocks.String()))
 	if err != nil {
 		t.Fatal(err)
@@ -76,11 +76,11 @@
 	if r.StatusCode != http.StatusOK {
 		t.Fatalf("blocks: %d", r.StatusCode)
 	}
-	first.apply(len(all), "BlockTable = \"places\"\n"+tree.String())
+	first.applySettings(len(all), "BlockTable = \"places\"\n"+tree.String())
 	eventually(t, "all slots are owned and all blocks known", func() bool {
 		owned := 0.0
 		for _, p := range all {
-			if p.daemon.state().Blocks != len(all) {
+			if p.daemon.status().Blocks != len(all) {
 				return false
 			}
 			owned += totalSlots(p.daemon)
@@ -90,15 +90,15 @@
 	return all
 }
 
-// callers has the callers of each place ask until the test ends. stop returns when
+// startCallers has the callers of each place ask until the test ends. stop returns when
 // no request begins any more.
-func callers(t *testing.T, rate float64, all []*place) (stop func()) {
+func startCallers(t *testing.T, rate float64, all []*failureDomain) (stop func()) {
 	t.Helper()
-	return callersPosting(t, rate, 0.3, all)
+	return startCallersWithPosts(t, rate, 0.3, all)
 }
 
-// callersPosting is callers with a part of the requests that must not run twice.
-func callersPosting(t *testing.T, rate, part float64, all []*place) (stop func()) {
+// startCallersWithPosts is callers with a part of the requests that must not run twice.
+func startCallersWithPosts(t *testing.T, rate, part float64, all []*failureDomain) (stop func()) {
 	t.Helper()
 	var seeds []string
 	for _, p := range all {
@@ -122,15 +122,15 @@
 	return stop
 }
 
-func (p *place) account() caller.Account {
+func (p *failureDomain) account() caller.Account {
 	for _, a := range p.load.Accounts() {
 		return a
 	}
 	return caller.Account{}
 }
 
-// flows waits until the callers of all places had many more answers.
-func flows(t *testing.T, all []*place) {
+// waitProgress waits until the callers of all places had many more answers.
+func waitDomainsServed(t *testing.T, all []*failureDomain) {
 	t.Helper()
 	for _, p := range all {
 		before := p.account().Answered
@@ -138,8 +138,8 @@
 	}
 }
 
-// refusals adds up what callers were refused.
-func refusals(all []*place) (n uint64) {
+// notRunTotal adds up what callers were refused.
+func notRunTotal(all []*failureDomain) (n uint64) {
 	for _, p := range all {
 		n += p.account().NotRun
 	}
@@ -151,21 +151,21 @@
 // with no operator, and the journals agree with what they saw.
 func TestDomainLost(t *testing.T) {
 	is := is.New(t)
-	all := startPlaces(t, 6, "erie/a", "erie/b", "michigan/a", "superior/a")
-	stop := callers(t, 60, all)
-	flows(t, all)
-	is.Equal(refusals(all), uint64(0))
-	all[0].lose()
-	flows(t, all)
-	t.Logf("refused after the loss of erie/a: %d", refusals(all))
-	all[1].lose()
-	flows(t, all)
-	flows(t, all)
-	before := refusals(all)
+	all := startDomains(t, 6, "erie/a", "erie/b", "michigan/a", "superior/a")
+	stop := startCallers(t, 60, all)
+	waitDomainsServed(t, all)
+	is.Equal(notRunTotal(all), uint64(0))
+	all[0].fail()
+	waitDomainsServed(t, all)
+	t.Logf("refused after the loss of erie/a: %d", notRunTotal(all))
+	all[1].fail()
+	waitDomainsServed(t, all)
+	waitDomainsServed(t, all)
+	before := notRunTotal(all)
 	t.Logf("refused after the loss of erie: %d", before)
-	flows(t, all)
+	waitDomainsServed(t, all)
 	// Once the loss is known nobody is refused for it.
-	is.Equal(refusals(all), before)
+	is.Equal(notRunTotal(all), before)
 	stop()
 	// The journals count once no request is under way any more: one that ended
 	// after they were read would look answered by nobody.
@@ -180,7 +180,7 @@
 		a := p.account()
 		t.Logf("%s/%s: %d requests, %d answered, %d not run, %d unknown %v, p50 %d ms, p99 %d ms, max %d ms", p.region, p.domain,
 			a.Requests, a.Answered, a.NotRun, a.Unknown, a.Reasons, a.Latency.ValueAtQuantile(50)/1000, a.Latency.ValueAtQuantile(99)/1000, a.Latency.Max()/1000)
-		if v := p.load.Judge(journals); v.Broken() {
+		if v := p.load.CheckJournals(journals); v.Violated() {
 			t.Errorf("promises broken: %+v", v)
 		}
 	}
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -28,8 +28,8 @@
 	pageKB         = 4
 )
 
-// cpu returns the processor time that a process has used.
-func (p *process) cpu() time.Duration {
+// cpuTime returns the processor time that a process has used.
+func (p *process) cpuTime() time.Duration {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		p.t.Fatal(err)
@@ -40,8 +40,8 @@
 	return time.Duration(user+system) * time.Second / ticksPerSecond
 }
 
-// rss returns the resident memory of a process in KB.
-func (p *process) rss() float64 {
+// residentKB returns the resident memory of a process in KB.
+func (p *process) residentKB() float64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
 	if err != nil {
 		p.t.Fatal(err)
@@ -50,10 +50,10 @@
 	return float64(pages * pageKB)
 }
 
-// idleSpan is how long an idle fleet is watched.
-const idleSpan = 15 * time.Second
+// idleDuration is how long an idle fleet is watched.
+const idleDuration = 15 * time.Second
 
-func fleetOf(b *testing.B, platform string, n int, regions ...string) []*daemon {
+func startFleet(b *testing.B, platform string, n int, regions ...string) []*daemon {
 	b.Helper()
 	if len(regions) == 0 {
 		regions = []string{"erie", "michigan", "superior"}
@@ -70,8 +70,8 @@
 	return all
 }
 
-// fleetTree has one upstream of keg-ledger in each failure domain.
-func fleetTree(b *testing.B, upstream func() string) string {
+// fleetSettings has one upstream of keg-ledger in each failure domain.
+func fleetSettings(b *testing.B, upstream func() string) string {
 	b.Helper()
 	text := ""
 	for _, r := range []string{"erie", "michigan", "superior"} {
@@ -87,10 +87,10 @@
 	for _, n := range []int{5, 10, 20, 40} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			address := startPlatform(b)
-			all := fleetOf(b, address, n)
+			all := startFleet(b, address, n)
 			upstream := startUpstream(b)
 			ports := 0
-			all[0].apply(n, fleetTree(b, func() string {
+			all[0].applySettings(n, fleetSettings(b, func() string {
 				ports++
 				if ports == 1 {
 					return upstream
@@ -108,12 +108,12 @@
 // together ask of the platform.
 func reportIdle(b *testing.B, all []*daemon) {
 	b.Helper()
-	before := spent(all)
-	time.Sleep(idleSpan)
-	after := spent(all)
+	before := measureUsage(all)
+	time.Sleep(idleDuration)
+	after := measureUsage(all)
 	n := float64(len(all))
 	report := func(name string, x, y, by float64) {
-		b.ReportMetric((y-x)/idleSpan.Seconds()/by, name)
+		b.ReportMetric((y-x)/idleDuration.Seconds()/by, name)
 	}
 	report("link-B/s", before.link, after.link, n)
 	report("wire-B/s", before.wire, after.wire, n)
@@ -122,7 +122,7 @@
 	for i := range all {
 		most = max(most, after.links[i]-before.links[i])
 	}
-	b.ReportMetric(most/idleSpan.Seconds(), "most-link-B/s")
+	b.ReportMetric(most/idleDuration.Seconds(), "most-link-B/s")
 	report("platform-B/s", before.platform, after.platform, n)
 	report("cpu-ms/s", before.cpu, after.cpu, n)
 	// Asking for the status before cost one call of each daemon.
@@ -136,8 +136,8 @@
 func BenchmarkLead(b *testing.B) {
 	for _, n := range []int{10, 20, 40, 71} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			all := fleetOf(b, startPlatform(b), n, "erie")
-			all[0].apply(n, fmt.Sprintf(oneSite, "127.0.0.1:9"))
+			all := startFleet(b, startPlatform(b), n, "erie")
+			all[0].applySettings(n, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
 			for b.Loop() {
 				reportIdle(b, all)
 			}
@@ -150,14 +150,14 @@
 func BenchmarkLoaded(b *testing.B) {
 	for _, rate := range []float64{100, 300, 900} {
 		b.Run(fmt.Sprint(rate), func(b *testing.B) {
-			all := fleetOf(b, startPlatform(b), 12)
-			all[0].apply(12, fleetTree(b, func() string { return startUpstream(b) }))
+			all := startFleet(b, startPlatform(b), 12)
+			all[0].applySettings(12, fleetSettings(b, func() string { return startUpstream(b) }))
 			x := startTraffic(b, rate, all...)
-			x.flows()
+			x.waitProgress()
 			for b.Loop() {
-				handed := handedBy(all)
+				handed := forwardedRequests(all)
 				reportIdle(b, all)
-				b.ReportMetric((handedBy(all)-handed)/idleSpan.Seconds(), "handed/s")
+				b.ReportMetric((forwardedRequests(all)-handed)/idleDuration.Seconds(), "handed/s")
 			}
 			x.cancel()
 			x.done.Wait()
@@ -171,13 +171,13 @@
 	for _, n := range []int{10, 20, 40} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			address := startPlatform(b)
-			all := fleetOf(b, address, n)
-			all[0].apply(n, fmt.Sprintf(oneSite, "127.0.0.1:9"))
+			all := startFleet(b, address, n)
+			all[0].applySettings(n, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
 			for b.Loop() {
-				fault(b, address, platform.Faults{Down: true})
+				setFaults(b, address, platform.Faults{Down: true})
 				time.Sleep(20 * time.Second)
 				before := platformCalls(b, address)
-				fault(b, address, platform.Faults{})
+				setFaults(b, address, platform.Faults{})
 				var most uint64
 				for range 5 {
 					time.Sleep(time.Second)
@@ -205,11 +205,11 @@
 	return c.Reads + c.Writes + c.Watches
 }
 
-// handedBy counts the requests that daemons handed to others.
-func handedBy(all []*daemon) float64 {
+// forwardedRequests counts the requests that daemons handed to others.
+func forwardedRequests(all []*daemon) float64 {
 	var n float64
 	for _, d := range all {
-		n += float64(d.state().Control.RequestsHanded)
+		n += float64(d.status().Control.RequestsHanded)
 	}
 	return n
 }
@@ -219,8 +219,8 @@
 	names := []string{"r0", "r1", "r2", "r3", "r4", "r5", "r6"}
 	for _, n := range []int{1, 3, 5, 7} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			all := fleetOf(b, startPlatform(b), 14, names[:n]...)
-			all[0].apply(14, "Limit = \"80%\"\n")
+			all := startFleet(b, startPlatform(b), 14, names[:n]...)
+			all[0].applySettings(14, "Limit = \"80%\"\n")
 			for b.Loop() {
 				reportIdle(b, all)
 			}
@@ -229,17 +229,17 @@
 }
 
 // spending is what all daemons spent; links holds the link bytes of each.
-type spending struct {
+type resourceUsage struct {
 	link, wire, pings, platform, calls, writes, cpu, rss float64
 
 	links []float64
 }
 
-func spent(all []*daemon) spending {
-	var s spending
+func measureUsage(all []*daemon) resourceUsage {
+	var s resourceUsage
 	for _, d := range all {
 		var st operator.Status
-		d.call(http.MethodGet, operator.PathStatus, nil, &st)
+		d.callOperator(http.MethodGet, operator.PathStatus, nil, &st)
 		c := st.Control
 		s.link += float64(c.LinkBytesIn + c.LinkBytesOut)
 		s.links = append(s.links, float64(c.LinkBytesIn+c.LinkBytesOut))
@@ -248,8 +248,8 @@
 		s.platform += float64(c.PlatformBytes)
 		s.calls += float64(c.PlatformReads + c.PlatformWrites + c.PlatformWatches)
 		s.writes += float64(c.PlatformWrites)
-		s.cpu += float64(d.cpu().Milliseconds())
-		s.rss += d.rss()
+		s.cpu += float64(d.cpuTime().Milliseconds())
+		s.rss += d.residentKB()
 	}
 	return s
 }
@@ -259,20 +259,20 @@
 	for _, n := range []int{5, 10, 20, 40} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			address := startPlatform(b)
-			all := fleetOf(b, address, n)
-			all[0].apply(n, fmt.Sprintf(oneSite, "127.0.0.1:9"))
+			all := startFleet(b, address, n)
+			all[0].applySettings(n, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
 			const changes = 100
 			for b.Loop() {
 				var took []time.Duration
 				for i := range changes {
 					began := time.Now()
 					var a operator.ChangeAnswer
-					all[i%n].call(http.MethodPost, operator.PathChange, operator.ChangeRequest{
+					all[i%n].callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{
 						Edits: []resolver.Edit{{Path: "/", Key: resolver.KeySlots, Value: resolver.Value(fmt.Sprint(i%7 + 1))}},
 					}, &a)
 					for {
 						var f operator.InForceAnswer
-						all[i%n].call(http.MethodGet, fmt.Sprintf("%s?Number=%d", operator.PathInForce, a.Number), nil, &f)
+						all[i%n].callOperator(http.MethodGet, fmt.Sprintf("%s?Number=%d", operator.PathInForce, a.Number), nil, &f)
 						if f.InForce == n {
 							break
 						}
@@ -280,13 +280,13 @@
 					}
 					took = append(took, time.Since(began))
 				}
-				reportTimes(b, "inforce", took)
+				reportQuantiles(b, "inforce", took)
 			}
 		})
 	}
 }
 
-func reportTimes(b *testing.B, name string, took []time.Duration) {
+func reportQuantiles(b *testing.B, name string, took []time.Duration) {
 	b.Helper()
 	slices.Sort(took)
 	at := func(q float64) float64 {
@@ -304,7 +304,7 @@
 	address := startPlatform(b)
 	upstream := startUpstream(b, "--service-millis", "0", "--slots", "1000")
 	d := startDaemon(b, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	d.apply(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 1000\n", upstream))
+	d.applySettings(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 1000\n", upstream))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	get := func(to string, n int) time.Duration {
 		q, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/x?Token=t%d&Bytes=600", to, n), nil)
@@ -356,7 +356,7 @@
 func reportThroughput(b *testing.B, d *daemon, ask func(n int)) {
 	b.Helper()
 	const workers = 32
-	cpu, began := d.cpu(), time.Now()
+	cpu, began := d.cpuTime(), time.Now()
 	var done sync.WaitGroup
 	for w := range workers {
 		done.Add(1)
@@ -369,7 +369,7 @@
 	}
 	done.Wait()
 	total := float64(workers * (b.N/workers + 1))
-	b.ReportMetric(total/(d.cpu()-cpu).Seconds(), "per-core-s")
+	b.ReportMetric(total/(d.cpuTime()-cpu).Seconds(), "per-core-s")
 	b.ReportMetric(total/time.Since(began).Seconds(), "per-s")
 }
 
@@ -380,10 +380,10 @@
 	address := startPlatform(b)
 	upstream := startUpstream(b, "--service-millis", "0", "--slots", "2000", "--pace", "100")
 	d := startDaemon(b, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	d.apply(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 2000\n", upstream))
+	d.applySettings(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 2000\n", upstream))
 	time.Sleep(5 * time.Second)
 	for b.Loop() {
-		empty := d.rss()
+		empty := d.residentKB()
 		var idle []net.Conn
 		for range count {
 			c, err := net.Dial("tcp", d.callers)
@@ -393,8 +393,8 @@
 			idle = append(idle, c)
 		}
 		time.Sleep(time.Second)
-		b.ReportMetric((d.rss()-empty)/count, "idle-KB")
-		empty = d.rss()
+		b.ReportMetric((d.residentKB()-empty)/count, "idle-KB")
+		empty = d.residentKB()
 		ctx, cancel := context.WithCancel(context.Background())
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: count}}
 		var bodies []io.Closer
@@ -410,7 +410,7 @@
 			}
 			bodies = append(bodies, p.Body)
 		}
-		b.ReportMetric((d.rss()-empty)/count, "active-KB")
+		b.ReportMetric((d.residentKB()-empty)/count, "active-KB")
 		cancel()
 		for _, x := range bodies {
 			x.Close()
@@ -426,7 +426,7 @@
 	address := startPlatform(b)
 	upstream := startUpstream(b)
 	first := startDaemon(b, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	first.apply(1, fmt.Sprintf(oneSite, upstream))
+	first.applySettings(1, fmt.Sprintf(oneSiteSettings, upstream))
 	var took []time.Duration
 	for n := 0; b.Loop(); n++ {
 		began := time.Now()
@@ -442,7 +442,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		took = append(took, time.Since(began))
-		d.end()
+		d.kill()
 	}
-	reportTimes(b, "first-answer", took)
+	reportQuantiles(b, "first-answer", took)
 }
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -29,8 +29,8 @@
 	defer ledger.Close()
 	defer depot.Close()
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: startPlatform(t),
-		more: "MostInFlight = 8"})
-	d.apply(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 20\n"+
+		extraSettings: "MostInFlight = 8"})
+	d.applySettings(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 20\n"+
 		"[Region.erie.Domain.a.Service.manifest-depot]\nUpstreams = [%q]\nSlots = 20\nClass = \"export\"\n", ledger.Listener.Addr(), depot.Listener.Addr()))
 	eventually(t, "all slots are owned", func() bool { return totalSlots(d) == 40 })
 	ended := make(chan string, 20)
@@ -80,18 +80,18 @@
 			for range 2 {
 				upstreams = append(upstreams, startUpstream(b, "--service-millis", "50"))
 			}
-			all := trio(b, startPlatform(b))
-			all[0].apply(3, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q, %q]\nSlots = 6\n", upstreams[0], upstreams[1]))
+			all := startThreeDaemons(b, startPlatform(b))
+			all[0].applySettings(3, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q, %q]\nSlots = 6\n", upstreams[0], upstreams[1]))
 			eventually(b, "all slots are owned", func() bool { return totalSlots(all...) == 12 })
 			for b.Loop() {
-				offer(b, load*capacity, all, capacity)
+				offerLoad(b, load*capacity, all, capacity)
 			}
 		})
 	}
 }
 
-// offer drives requests for a while and reports what became of them.
-func offer(b *testing.B, rate float64, daemons []*daemon, capacity float64) {
+// offerLoad drives requests for a while and reports what became of them.
+func offerLoad(b *testing.B, rate float64, daemons []*daemon, capacity float64) {
 	b.Helper()
 	const length = 10 * time.Second
 	var seeds []string
@@ -109,7 +109,7 @@
 	})
 	load.Wait()
 	for _, d := range daemons {
-		b.Logf("%s: owned %v, %.0f ejections", d.name, d.state().Owned, d.metric("upstream_ejections"))
+		b.Logf("%s: owned %v, %.0f ejections", d.name, d.status().Owned, d.metric("upstream_ejections"))
 	}
 	for _, a := range load.Accounts() {
 		b.Logf("%v", a.Reasons)
--- a/test/owner_test.go
+++ b/test/owner_test.go
@@ -12,8 +12,8 @@
 	"github.com/gullvale/gullvale/pkg/lister"
 )
 
-// probesOf returns how many probes a daemon has made.
-func probesOf(d *daemon) int {
+// probeCount returns how many probes a daemon has made.
+func probeCount(d *daemon) int {
 	d.t.Helper()
 	return int(d.metric("probes"))
 }
@@ -28,21 +28,21 @@
 	for i := range 6 {
 		all = append(all, startDaemon(t, daemonOptions{name: fmt.Sprint("erie-", i), region: "erie", domain: "a", platform: address}))
 	}
-	eventually(t, "six members", func() bool { return all[0].state().Members == 6 })
-	all[0].apply(6, fmt.Sprintf(oneSite, upstream)+"ProbeIntervalMillis = 100\n")
+	eventually(t, "six members", func() bool { return all[0].status().Members == 6 })
+	all[0].applySettings(6, fmt.Sprintf(oneSiteSettings, upstream)+"ProbeIntervalMillis = 100\n")
 	eventually(t, "one owner", func() bool { return totalSlots(all...) == 6 })
 	x := startTraffic(t, 200, all...)
-	x.flows()
-	eventually(t, "it is probed", func() bool { return counts(t, upstream).Probes >= 20 })
+	x.waitProgress()
+	eventually(t, "it is probed", func() bool { return upstreamCounts(t, upstream).Probes >= 20 })
 	owners := 0
 	for _, d := range all {
-		if probesOf(d) > 0 {
+		if probeCount(d) > 0 {
 			owners++
 		}
 	}
 	is.Equal(owners, 1)
-	x.judge(upstream)
-	c := counts(t, upstream)
+	x.stopAndVerify(upstream)
+	c := upstreamCounts(t, upstream)
 	is.True(c.Conns <= 12) // slots, a probe's, this test's own, and no multiple of daemons
 	is.Equal(c.Shed, int64(0))
 }
@@ -54,8 +54,8 @@
 	address := startPlatform(t)
 	upstream := startUpstream(t)
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	d.apply(1, fmt.Sprintf(oneSite, upstream))
-	eventually(t, "it is owned", func() bool { return d.slots() == 6 })
+	d.applySettings(1, fmt.Sprintf(oneSiteSettings, upstream))
+	eventually(t, "it is owned", func() bool { return d.ownedSlots() == 6 })
 	body, err := json.Marshal(lister.List{VMs: []lister.VM{{Address: "127.0.0.1", Leaving: true}}})
 	is.NoErr(err)
 	q, err := http.NewRequest(http.MethodPut, address+"/Objects/VMs%2FList", bytes.NewReader(body))
@@ -65,7 +65,7 @@
 	is.NoErr(err)
 	p.Body.Close()
 	is.Equal(p.StatusCode, http.StatusOK)
-	eventually(t, "it has no slots any more", func() bool { return d.slots() == 0 })
+	eventually(t, "it has no slots any more", func() bool { return d.ownedSlots() == 0 })
 }
 
 // TestDrainingUpstreamGetsNothingNew has an upstream say by itself that it leaves,
@@ -73,17 +73,17 @@
 func TestDrainingUpstreamGetsNothingNew(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
-	text, upstreams := twoUpstreams(t)
+	text, upstreams := startTwoUpstreams(t)
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	d.apply(1, text)
-	eventually(t, "both are owned", func() bool { return d.slots() == 12 })
+	d.applySettings(1, text)
+	eventually(t, "both are owned", func() bool { return d.ownedSlots() == 12 })
 	x := startTraffic(t, 100, d)
-	x.flows()
+	x.waitProgress()
 	p, err := http.Post("http://"+upstreams[0]+"/Drain", "", nil)
 	is.NoErr(err)
 	p.Body.Close()
-	eventually(t, "it has no slots any more", func() bool { return d.slots() == 6 })
-	x.flows()
-	x.judge(upstreams...)
-	is.Equal(counts(t, upstreams[0]).Late, int64(0)) // nothing new later than 2 s after
+	eventually(t, "it has no slots any more", func() bool { return d.ownedSlots() == 6 })
+	x.waitProgress()
+	x.stopAndVerify(upstreams...)
+	is.Equal(upstreamCounts(t, upstreams[0]).Late, int64(0)) // nothing new later than 2 s after
 }
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -20,7 +20,7 @@
 	"github.com/gullvale/gullvale/internal/version/steerer"
 )
 
-const oneSite = "[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 6\n"
+const oneSiteSettings = "[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 6\n"
 
 // TestWholePath takes a look-up and a forwarded request through a daemon under
 // settings that it read from the platform.
@@ -29,7 +29,7 @@
 	address := startPlatform(t)
 	upstream := startUpstream(t)
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	d.apply(1, fmt.Sprintf(oneSite, upstream))
+	d.applySettings(1, fmt.Sprintf(oneSiteSettings, upstream))
 
 	p, err := http.Get("http://" + d.callers + "/Lookup?Service=keg-ledger&Block=10.1.2.0/24")
 	is.NoErr(err)
@@ -54,14 +54,14 @@
 	is.Equal(q.Header.Get("Gullvale-Entry"), "erie-1")
 	_, err = payload.Verify(q.Body, payload.New("t1", []byte(body), 2000))
 	is.NoErr(err)
-	is.Equal(counts(t, upstream).Journal["t1"], 1)
+	is.Equal(upstreamCounts(t, upstream).Journal["t1"], 1)
 }
 
 // TestLookupSaysWhatIsWrong asks for what is not there.
 func TestLookupSaysWhatIsWrong(t *testing.T) {
 	address := startPlatform(t)
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	d.apply(1, fmt.Sprintf(oneSite, "127.0.0.1:9"))
+	d.applySettings(1, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
 	for _, c := range []struct {
 		query, text string
 		status      int
@@ -100,8 +100,8 @@
 			upstream := startUpstream(t, "--pace", fmt.Sprint(length/4))
 			d1 := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 			d2 := startDaemon(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
-			d1.apply(2, fmt.Sprintf(oneSite, upstream))
-			owner, entry := ownerOf(t, d1, d2)
+			d1.applySettings(2, fmt.Sprintf(oneSiteSettings, upstream))
+			owner, entry := waitOwner(t, d1, d2)
 			var q *http.Response
 			eventually(t, "the entry knows the owner", func() bool {
 				var err error
@@ -119,19 +119,19 @@
 			n, err := payload.Verify(whole, payload.New("x", nil, length))
 			is.NoErr(err)
 			is.Equal(n, int64(length))
-			is.Equal(stopped.exit(), 0)
+			is.Equal(stopped.waitExit(), 0)
 		})
 	}
 }
 
-// ownerOf returns the daemon that owns the one upstream, and another.
-func ownerOf(t *testing.T, a, b *daemon) (owner, other *daemon) {
+// waitOwner returns the daemon that owns the one upstream, and another.
+func waitOwner(t *testing.T, a, b *daemon) (owner, other *daemon) {
 	t.Helper()
 	eventually(t, "a daemon owns the upstream", func() bool {
 		switch {
-		case a.slots() > 0:
+		case a.ownedSlots() > 0:
 			owner, other = a, b
-		case b.slots() > 0:
+		case b.ownedSlots() > 0:
 			owner, other = b, a
 		}
 		return owner != nil
@@ -147,16 +147,16 @@
 	address := startPlatform(t)
 	d1 := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 	d2 := startDaemon(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
-	d1.apply(2, fmt.Sprintf(oneSite, "127.0.0.1:9"))
+	d1.applySettings(2, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
 	race := func(keys [2]resolver.Key, values [2]resolver.Value) (codes [2]int, losers [2]operator.ErrorAnswer) {
 		var done sync.WaitGroup
 		for i, d := range []*daemon{d1, d2} {
 			var now operator.SettingsAnswer
-			is.Equal(d1.call(http.MethodGet, operator.PathSettings, nil, &now), http.StatusOK)
+			is.Equal(d1.callOperator(http.MethodGet, operator.PathSettings, nil, &now), http.StatusOK)
 			done.Add(1)
 			go func() {
 				defer done.Done()
-				codes[i] = d.call(http.MethodPost, operator.PathChange, operator.ChangeRequest{
+				codes[i] = d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{
 					Base:  now.Number,
 					Edits: []resolver.Edit{{Path: "erie:keg-ledger", Key: keys[i], Value: values[i]}},
 				}, &losers[i])
@@ -184,17 +184,17 @@
 	is := is.New(t)
 	address := startPlatform(t)
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	d.apply(1, fmt.Sprintf(oneSite, "127.0.0.1:9"))
-	fault(t, address, platform.Faults{LoseAnswers: 3, LosePrefix: "Settings/"})
+	d.applySettings(1, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
+	setFaults(t, address, platform.Faults{LoseAnswers: 3, LosePrefix: "Settings/"})
 	var a operator.ChangeAnswer
 	edits := []resolver.Edit{{Path: "erie", Key: resolver.KeyLimit, Value: "60%"}}
-	is.Equal(d.call(http.MethodPost, operator.PathChange, operator.ChangeRequest{ID: "mine", Edits: edits}, &a), http.StatusOK)
+	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{ID: "mine", Edits: edits}, &a), http.StatusOK)
 	is.Equal(int(a.Number), 2)
 	var again operator.ChangeAnswer
-	is.Equal(d.call(http.MethodPost, operator.PathChange, operator.ChangeRequest{ID: "mine", Edits: edits}, &again), http.StatusOK)
+	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{ID: "mine", Edits: edits}, &again), http.StatusOK)
 	is.Equal(again.Number, a.Number)
 	var l operator.LogAnswer
-	is.Equal(d.call(http.MethodGet, operator.PathLog, nil, &l), http.StatusOK)
+	is.Equal(d.callOperator(http.MethodGet, operator.PathLog, nil, &l), http.StatusOK)
 	is.Equal(len(l.Changes), 2)
 }
 
@@ -203,9 +203,9 @@
 	is := is.New(t)
 	file := t.TempDir() + "/bad.toml"
 	is.NoErr(writeFile(file, "Name = \"Erie 1\"\nRegoin = \"erie\"\n\n[Platform]\nAddress = 7\n"))
-	p := start(t, "gullvaled", "--settings", file, "--check")
-	is.Equal(p.exit(), 2)
+	p := startProcess(t, "gullvaled", "--settings", file, "--check")
+	is.Equal(p.waitExit(), 2)
 	for _, want := range []string{":1: Name: ", ":2: Regoin: unknown setting", ":5: Platform.Address: ", "Region: is missing", "Callers: is missing"} {
-		is.True(strings.Contains(p.text(), want)) // each problem is listed
+		is.True(strings.Contains(p.logText(), want)) // each problem is listed
 	}
 }
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -25,18 +25,18 @@
 )
 
 // chaos is a fleet and the faults that it is under.
-type chaos struct {
-	t        *testing.T
-	random   *rand.Rand
-	platform string
-	daemons  []*daemon
-	proxies  []*proxy
-	paused   map[int]bool
-	cut      map[int]bool
-	numbers  map[string]float64
-	// holders is which process showed a fence of a lease.
-	holders map[string]string
-	history []string
+type faultRun struct {
+	t           *testing.T
+	random      *rand.Rand
+	platform    string
+	daemons     []*daemon
+	proxies     []*proxy
+	paused      map[int]bool
+	blocked     map[int]bool
+	lastNumbers map[string]float64
+	// fenceHolders is which process showed a fence of a lease.
+	fenceHolders map[string]string
+	history      []string
 }
 
 // TestRandomFaults breaks and heals a fleet at random under load: pauses, kills,
@@ -46,77 +46,77 @@
 // must agree with the upstreams' journals.
 func TestRandomFaults(t *testing.T) {
 	is := is.New(t)
-	c := &chaos{
+	c := &faultRun{
 		t: t, random: rand.New(rand.NewPCG(*randomSeed, 1)), platform: startPlatform(t),
-		paused: map[int]bool{}, cut: map[int]bool{}, numbers: map[string]float64{},
-		holders: map[string]string{},
+		paused: map[int]bool{}, blocked: map[int]bool{}, lastNumbers: map[string]float64{},
+		fenceHolders: map[string]string{},
 	}
-	text, upstreams := twoUpstreams(t)
+	text, upstreams := startTwoUpstreams(t)
 	for i := range 4 {
-		d, p := startBehind(t, c.options(i))
+		d, p := startBehindProxy(t, c.options(i))
 		c.daemons = append(c.daemons, d)
 		c.proxies = append(c.proxies, p)
 	}
-	c.daemons[0].apply(4, text)
+	c.daemons[0].applySettings(4, text)
 	eventually(t, "all slots are owned", func() bool { return totalSlots(c.daemons...) == 12 })
 	x := startTraffic(t, 60, c.daemons...)
-	x.flows()
+	x.waitProgress()
 	for range *randomSteps {
-		c.step()
+		c.injectFault()
 		// Faults last for a while; nothing is awaited here.
 		time.Sleep(time.Duration(500+c.random.IntN(2500)) * time.Millisecond)
 		c.check()
 	}
-	c.heal()
+	c.healAll()
 	t.Logf("seed %d: %s", *randomSeed, strings.Join(c.history, ", "))
-	eventually(t, "the fleet comes together", func() bool { return c.whole() })
-	c.daemons[0].set(4, "77")
+	eventually(t, "the fleet comes together", func() bool { return c.converged() })
+	c.daemons[0].setAndWait(4, "77")
 	c.check()
-	x.flows()
-	x.judge(upstreams...)
+	x.waitProgress()
+	x.stopAndVerify(upstreams...)
 	for _, d := range c.daemons {
-		is.True(!strings.Contains(d.text(), "panic:"))
+		is.True(!strings.Contains(d.logText(), "panic:"))
 	}
 }
 
-func (c *chaos) options(i int) daemonOptions {
+func (c *faultRun) options(i int) daemonOptions {
 	return daemonOptions{name: fmt.Sprint("erie-", i), region: "erie", domain: "a", platform: c.platform}
 }
 
-// step lets one thing go wrong, or right again.
-func (c *chaos) step() {
+// injectFault lets one thing go wrong, or right again.
+func (c *faultRun) injectFault() {
 	i := c.random.IntN(len(c.daemons))
 	what := c.random.IntN(9)
 	c.history = append(c.history, fmt.Sprintf("%d on %d", what, i))
 	switch what {
 	case 0, 1:
-		c.pause(i)
+		c.togglePause(i)
 	case 2:
-		c.replace(i)
+		c.replaceDaemon(i)
 	case 3:
-		c.silence(i, silentForward)
+		c.blockLinks(i, dropForward)
 	case 4:
-		c.silence(i, silentBackward)
+		c.blockLinks(i, dropBackward)
 	case 5:
-		fault(c.t, c.platform, platform.Faults{Down: true})
+		setFaults(c.t, c.platform, platform.Faults{Down: true})
 	case 6:
-		fault(c.t, c.platform, platform.Faults{SlowMillis: 700, LoseAnswers: 20})
+		setFaults(c.t, c.platform, platform.Faults{SlowMillis: 700, LoseAnswers: 20})
 	case 7:
-		c.change(i)
+		c.changeSettings(i)
 	case 8:
-		c.heal()
+		c.healAll()
 	}
 }
 
-// silence makes the links to a daemon silent in one direction.
-func (c *chaos) silence(i int, toxic string) {
-	if !c.cut[i] {
-		c.proxies[i].add(toxic)
-		c.cut[i] = true
+// blockLinks makes the links to a daemon silent in one direction.
+func (c *faultRun) blockLinks(i int, toxic string) {
+	if !c.blocked[i] {
+		c.proxies[i].addToxic(toxic)
+		c.blocked[i] = true
 	}
 }
 
-func (c *chaos) pause(i int) {
+func (c *faultRun) togglePause(i int) {
 	if c.paused[i] {
 		c.daemons[i].signal(syscall.SIGCONT)
 	} else {
@@ -125,10 +125,10 @@
 	c.paused[i] = !c.paused[i]
 }
 
-// replace kills a daemon and starts another behind the same proxy.
-func (c *chaos) replace(i int) {
+// replaceDaemon kills a daemon and starts another behind the same proxy.
+func (c *faultRun) replaceDaemon(i int) {
 	old := c.daemons[i]
-	old.end()
+	old.kill()
 	c.paused[i] = false
 	o := c.options(i)
 	o.advertise = c.proxies[i].Listen
@@ -141,14 +141,14 @@
 	c.daemons[i] = startDaemon(c.t, o)
 }
 
-// change asks for a change of settings. It may fail for any reason but a wrong
+// changeSettings asks for a change of settings. It may fail for any reason but a wrong
 // one.
-func (c *chaos) change(i int) {
+func (c *faultRun) changeSettings(i int) {
 	if c.paused[i] {
 		return
 	}
 	var e operator.ErrorAnswer
-	code := c.daemons[i].call(http.MethodPost, operator.PathChange, operator.ChangeRequest{
+	code := c.daemons[i].callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{
 		Edits: []resolver.Edit{{Path: "/", Key: resolver.KeyQueueLength, Value: resolver.Value(fmt.Sprint(60 + c.random.IntN(1000)))}},
 	}, &e)
 	if code != http.StatusOK && code < http.StatusInternalServerError {
@@ -156,15 +156,15 @@
 	}
 }
 
-// heal ends all faults.
-func (c *chaos) heal() {
-	fault(c.t, c.platform, platform.Faults{})
+// healAll ends all faults.
+func (c *faultRun) healAll() {
+	setFaults(c.t, c.platform, platform.Faults{})
 	for i, p := range c.proxies {
 		if c.paused[i] {
-			c.pause(i)
+			c.togglePause(i)
 		}
-		if c.cut[i] {
-			p.heal()
+		if c.blocked[i] {
+			p.removeToxics()
 			// A proxy keeps what it swallowed from what comes behind it.
 			if err := p.Update(&toxiproxy.Proxy{Listen: p.Listen, Upstream: c.daemons[i].linksBound, Enabled: false}); err != nil {
 				c.t.Fatal(err)
@@ -172,58 +172,58 @@
 			if err := p.Update(&toxiproxy.Proxy{Listen: p.Listen, Upstream: c.daemons[i].linksBound, Enabled: true}); err != nil {
 				c.t.Fatal(err)
 			}
-			c.cut[i] = false
+			c.blocked[i] = false
 		}
 	}
 }
 
 // check asserts what must hold in every process at any time.
-func (c *chaos) check() {
+func (c *faultRun) check() {
 	for i, d := range c.daemons {
 		if c.paused[i] {
 			continue
 		}
-		st := d.state()
+		st := d.status()
 		if st.InvariantsBroken > 0 {
 			c.t.Fatalf("%d broken invariants in %s; seed %d: %v", st.InvariantsBroken, d.name, *randomSeed, c.history)
 		}
-		c.checkFence(d, "lead", uint64(st.Fence))
-		c.checkFence(d, "planner", uint64(st.PlannerFence))
-		c.checkNumbers(d, st)
+		c.checkFenceHolder(d, "lead", uint64(st.Fence))
+		c.checkFenceHolder(d, "planner", uint64(st.PlannerFence))
+		c.checkMonotonic(d, st)
 	}
 }
 
-// checkFence asserts that each fence of a lease belongs to one process only.
-func (c *chaos) checkFence(d *daemon, lease string, fence uint64) {
+// checkFenceHolder asserts that each fence of a lease belongs to one process only.
+func (c *faultRun) checkFenceHolder(d *daemon, lease string, fence uint64) {
 	if fence == 0 {
 		return
 	}
 	k := fmt.Sprint(lease, " ", fence)
 	who := incarnationOf(c.t, d)
-	if before, ok := c.holders[k]; ok && before != who {
+	if before, ok := c.fenceHolders[k]; ok && before != who {
 		c.t.Fatalf("%s held by %s and %s; seed %d: %v", k, before, who, *randomSeed, c.history)
 	}
-	c.holders[k] = who
+	c.fenceHolders[k] = who
 }
 
-// checkNumbers asserts that no number in force went down in a process. A new
+// checkMonotonic asserts that no number in force went down in a process. A new
 // process begins anew.
-func (c *chaos) checkNumbers(d *daemon, st operator.Status) {
+func (c *faultRun) checkMonotonic(d *daemon, st operator.Status) {
 	for name, n := range map[string]float64{"settings": float64(st.Settings), "plan": float64(st.Plan)} {
 		k := incarnationOf(c.t, d) + name
-		if n < c.numbers[k] {
-			c.t.Fatalf("%s of %s went from %g to %g; seed %d: %v", name, d.name, c.numbers[k], n, *randomSeed, c.history)
+		if n < c.lastNumbers[k] {
+			c.t.Fatalf("%s of %s went from %g to %g; seed %d: %v", name, d.name, c.lastNumbers[k], n, *randomSeed, c.history)
 		}
-		c.numbers[k] = n
+		c.lastNumbers[k] = n
 	}
 }
 
-// whole tells whether all daemons are valid members under one lead and own all
+// converged tells whether all daemons are valid members under one lead and own all
 // slots.
-func (c *chaos) whole() bool {
+func (c *faultRun) converged() bool {
 	leads, slots := 0, 0
 	for _, d := range c.daemons {
-		st := d.state()
+		st := d.status()
 		if !st.Valid || !st.Platform || st.Members != len(c.daemons) || st.InForce != len(c.daemons) {
 			return false
 		}
--- a/test/rolling_test.go
+++ b/test/rolling_test.go
@@ -19,14 +19,14 @@
 	const length = 4 << 20
 	is := is.New(t)
 	address := startPlatform(t)
-	text, upstreams := twoUpstreams(t)
+	text, upstreams := startTwoUpstreams(t)
 	depot := startUpstream(t, "--pace", fmt.Sprint(length/8), "--slots", "20")
 	text += fmt.Sprintf("[Region.erie.Domain.a.Service.manifest-depot]\nUpstreams = [%q]\nSlots = 20\nDeadlineMillis = 0\n", depot)
-	all := trio(t, address)
-	all[0].apply(3, text)
+	all := startThreeDaemons(t, address)
+	all[0].applySettings(3, text)
 	eventually(t, "all slots are owned", func() bool { return totalSlots(all...) == 32 })
 	x := startTraffic(t, 100, all...)
-	x.flows()
+	x.waitProgress()
 	exports := make(chan error, len(all))
 	for i, d := range all {
 		var p *http.Response
@@ -45,20 +45,20 @@
 	fleet := append([]*daemon(nil), all...)
 	for i, old := range all {
 		fresh := startDaemon(t, daemonOptions{name: fmt.Sprint("erie-new-", i), region: "erie", domain: "a", platform: address})
-		eventually(t, "the new daemon is a member", func() bool { return fresh.state().Valid })
+		eventually(t, "the new daemon is a member", func() bool { return fresh.status().Valid })
 		old.signal(syscall.SIGTERM)
-		is.Equal(old.exit(), 0)
+		is.Equal(old.waitExit(), 0)
 		fleet[i] = fresh
-		x.flows()
+		x.waitProgress()
 	}
 	for range all {
 		is.NoErr(<-exports)
 	}
 	eventually(t, "all slots are owned", func() bool { return totalSlots(fleet...) == 32 })
-	a := x.judge(upstreams...)
+	a := x.stopAndVerify(upstreams...)
 	is.Equal(a.Unknown, uint64(0))
 	is.Equal(a.NotRun, uint64(0))
 	for _, u := range upstreams {
-		is.Equal(counts(t, u).Shed, int64(0))
+		is.Equal(upstreamCounts(t, u).Shed, int64(0))
 	}
 }
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -15,7 +15,7 @@
 func TestEncryptedLinks(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
-	text, upstreams := twoUpstreams(t)
+	text, upstreams := startTwoUpstreams(t)
 	ours, next := signer.New(), signer.New()
 	later := time.Now().Add(time.Hour)
 	var dirs []string
@@ -24,31 +24,31 @@
 		dirs = append(dirs, t.TempDir())
 		f := by.Files(dirs[i], later, trust...)
 		return daemonOptions{name: fmt.Sprint("erie-", i), region: "erie", domain: "a", platform: address,
-			more: fmt.Sprintf("LinkTLS.Certificate = %q\nLinkTLS.Key = %q\nLinkTLS.Authority = %q\n", f.Certificate, f.Key, f.Authority)}
+			extraSettings: fmt.Sprintf("LinkTLS.Certificate = %q\nLinkTLS.Key = %q\nLinkTLS.Authority = %q\n", f.Certificate, f.Key, f.Authority)}
 	}
 	for i := range 3 {
 		all = append(all, startDaemon(t, options(i, ours, ours)))
 	}
-	all[0].apply(3, text)
+	all[0].applySettings(3, text)
 	eventually(t, "all slots are owned", func() bool { return totalSlots(all...) == 12 })
 	x := startTraffic(t, 60, all...)
-	x.flows()
+	x.waitProgress()
 	stranger := startDaemon(t, options(3, next, ours, next))
 	for i := range all {
 		ours.Files(dirs[i], later, ours, next)
 	}
 	eventually(t, "both authorities are trusted, and the fourth is in", func() bool {
-		return stranger.state().Valid && stranger.state().Members == 4
+		return stranger.status().Valid && stranger.status().Members == 4
 	})
 	for i := range all {
 		next.Files(dirs[i], later, next)
 	}
-	x.flows()
+	x.waitProgress()
 	left := startDaemon(t, options(4, ours, ours, next))
-	left.ready() // settings come from the platform
-	x.flows()
-	is.Equal(left.state().Valid, false)
-	is.Equal(all[0].state().Members, 4)
-	a := x.judge(upstreams...)
+	left.waitReady() // settings come from the platform
+	x.waitProgress()
+	is.Equal(left.status().Valid, false)
+	is.Equal(all[0].status().Members, 4)
+	a := x.stopAndVerify(upstreams...)
 	is.Equal(a.Unknown, uint64(0))
 }
