--- a/test/bad_input_test.go
+++ b/test/bad_input_test.go
@@ -19,8 +19,8 @@
 	return os.WriteFile(name, []byte(text), 0o600)
 }
 
-// TestBadInputIsRefused sends heads that must not reach an upstream, each on a
-// connection of its own. All answers say that nothing ran.
+// TestBadInputIsRefused sends request heads that must not reach an upstream, each on its own
+// connection. Every response must report that the request was not run.
 func TestBadInputIsRefused(t *testing.T) {
 	address := startPlatform(t)
 	upstream := startUpstream(t)
@@ -50,27 +50,28 @@
 			defer conn.Close()
 			is.NoErr(conn.SetDeadline(time.Now().Add(waitTimeout)))
 			go func() { _, _ = io.WriteString(conn, c.text) }()
-			p, err := http.ReadResponse(bufio.NewReader(conn), nil)
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			is.NoErr(err)
-			defer p.Body.Close()
-			is.Equal(p.StatusCode, c.status)
-			is.Equal(p.Header.Get("Gullvale-Outcome"), "not-run")
+			defer resp.Body.Close()
+			is.Equal(resp.StatusCode, c.status)
+			is.Equal(resp.Header.Get("Gullvale-Outcome"), "not-run")
 		})
 	}
 	is := is.New(t)
 	is.Equal(upstreamCounts(t, upstream).Journal["bad"], 0)
 	eventually(t, "the refusals are counted", func() bool {
-		p, err := http.Get("http://" + d.operators + "/metrics")
+		resp, err := http.Get("http://" + d.operators + "/metrics")
 		is.NoErr(err)
-		defer p.Body.Close()
-		b, err := io.ReadAll(p.Body)
+		defer resp.Body.Close()
+		b, err := io.ReadAll(resp.Body)
 		is.NoErr(err)
 		return strings.Contains(string(b), `gullvale_heads_refused{class="none",kind="malformed head",service="none"} 6`) &&
 			strings.Contains(string(b), `gullvale_request_reasons{class="short",kind="body too large",service="keg-ledger"} 2`)
 	})
 }
 
-// startTruncatingUpstream answers with a whole head and half a body.
+// startTruncatingUpstream starts an upstream that passes health checks, replies to every other
+// request with head and then closes the connection.
 func startTruncatingUpstream(t *testing.T, head string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,8 +99,8 @@
 	return l.Addr().String()
 }
 
-// TestCutAnswerStaysCut has an upstream break off its answer, with and without
-// a length. The caller must not take what it got for the whole.
+// TestCutAnswerStaysCut guards against a truncated response, with a length or chunked, that
+// reaches the caller as a complete one.
 func TestCutAnswerStaysCut(t *testing.T) {
 	for name, head := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
@@ -113,24 +114,24 @@
 			d2 := startDaemon(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
 			d1.applySettings(2, fmt.Sprintf(oneSiteSettings, upstream))
 			for _, d := range []*daemon{d1, d2} {
-				var p *http.Response
+				var resp *http.Response
 				eventually(t, "an upstream is owned", func() bool {
 					var err error
-					p, err = d.send(context.Background(), http.MethodGet, "keg-ledger", "/x", nil)
+					resp, err = d.send(context.Background(), http.MethodGet, "keg-ledger", "/x", nil)
 					is.NoErr(err)
-					return p.StatusCode == http.StatusOK
+					return resp.StatusCode == http.StatusOK
 				})
-				b, err := io.ReadAll(p.Body)
-				p.Body.Close()
+				b, err := io.ReadAll(resp.Body)
+				resp.Body.Close()
 				is.Equal(string(b), "half")
-				is.True(err != nil) // the answer must not look whole
+				is.True(err != nil) // the truncation must reach the caller
 			}
 		})
 	}
 }
 
-// TestLostUpstreamIsUnknown has an upstream take a request and hang up. A POST
-// is neither sent again nor called "not run", with a key or without.
+// TestLostUpstreamIsUnknown has an upstream read a request and close the connection. A POST is
+// neither retried nor reported as not run, with or without an idempotency key.
 func TestLostUpstreamIsUnknown(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
@@ -139,21 +140,21 @@
 	d.applySettings(1, fmt.Sprintf(oneSiteSettings, upstream))
 	for _, body := range []string{"", "one sofa"} {
 		for _, key := range []string{"", "key of " + body} {
-			var p *http.Response
+			var resp *http.Response
 			eventually(t, "an upstream is owned", func() bool {
-				q, err := http.NewRequest(http.MethodPost, "http://"+d.callers+"/x", strings.NewReader(body))
+				req, err := http.NewRequest(http.MethodPost, "http://"+d.callers+"/x", strings.NewReader(body))
 				is.NoErr(err)
-				q.Header.Set("Gullvale-Service", "keg-ledger")
+				req.Header.Set("Gullvale-Service", "keg-ledger")
 				if key != "" {
-					q.Header.Set("Idempotency-Key", key)
+					req.Header.Set("Idempotency-Key", key)
 				}
-				p, err = http.DefaultClient.Do(q)
+				resp, err = http.DefaultClient.Do(req)
 				is.NoErr(err)
-				p.Body.Close()
-				return p.Header.Get("Gullvale-Outcome") != "not-run"
+				resp.Body.Close()
+				return resp.Header.Get("Gullvale-Outcome") != "not-run"
 			})
-			is.Equal(p.StatusCode, http.StatusBadGateway)
-			is.Equal(p.Header.Get("Gullvale-Outcome"), "unknown")
+			is.Equal(resp.StatusCode, http.StatusBadGateway)
+			is.Equal(resp.Header.Get("Gullvale-Outcome"), "unknown")
 		}
 	}
 }
--- a/test/cli_test.go
+++ b/test/cli_test.go
@@ -14,8 +14,8 @@
 	"github.com/gullvale/gullvale/internal/standin/platform"
 )
 
-// runCommand runs the command line against daemons and returns its exit code and
-// what it printed.
+// runCommand runs the command-line tool against the given operator addresses and returns its
+// exit code and combined output.
 func runCommand(t *testing.T, operators string, args ...string) (int, string) {
 	t.Helper()
 	c := exec.Command(filepath.Join(binaries, "gullvale"), args...)
@@ -27,24 +27,24 @@
 	return c.ProcessState.ExitCode(), string(out)
 }
 
-// TestCommandLine goes through an operator's day: each command with its exit code
-// and the words that it must say.
+// TestCommandLine runs the operator commands in a realistic order and checks the exit code and
+// output of each.
 func TestCommandLine(t *testing.T) {
 	address := startPlatform(t)
 	a := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 	b := startDaemon(t, daemonOptions{name: "michigan-1", region: "michigan", domain: "a", platform: address})
 	dir := t.TempDir()
-	tree := filepath.Join(dir, "tree.toml")
-	good := fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\n[Region.michigan.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\n",
+	settingsFile := filepath.Join(dir, "tree.toml")
+	settings := fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\n[Region.michigan.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\n",
 		startUpstream(t), startUpstream(t))
-	bad := filepath.Join(dir, "bad.toml")
-	blocks := filepath.Join(dir, "blocks.txt")
-	logs := filepath.Join(dir, "erie-1.log")
+	badSettings := filepath.Join(dir, "bad.toml")
+	blocksFile := filepath.Join(dir, "blocks.txt")
+	logFile := filepath.Join(dir, "erie-1.log")
 	request := `{"time":"2026-01-11T05:37:30.000Z","msg":"request","id":"aa01","outcome":"not-run","reason":"line","status":503}` + "\n"
-	table := filepath.Join(dir, "table.toml")
-	wrong := filepath.Join(dir, "wrong.toml")
+	tableFile := filepath.Join(dir, "table.toml")
+	badTable := filepath.Join(dir, "wrong.toml")
 	routes := routeTable(7, `"erie-b"`, []string{"10.0.0.1:80", "10.0.0.2:80"})
-	for name, text := range map[string]string{table: routes, wrong: "Version = 0\nRoute.r.Host = 7\n", tree: good, bad: "Slots = 0\nlimit = \"1%\"\n", blocks: "10.1.0.0/16 erie/a\n10.2.0.0/16 michigan/a\n", logs: request} {
+	for name, text := range map[string]string{tableFile: routes, badTable: "Version = 0\nRoute.r.Host = 7\n", settingsFile: settings, badSettings: "Slots = 0\nlimit = \"1%\"\n", blocksFile: "10.1.0.0/16 erie/a\n10.2.0.0/16 michigan/a\n", logFile: request} {
 		if err := writeFile(name, text); err != nil {
 			t.Fatal(err)
 		}
@@ -55,27 +55,27 @@
 		code, out := runCommand(t, a.operators, "status", "-o", "json")
 		return code == 0 && strings.Contains(out, `"Members": 2`)
 	})
-	const nobody = "127.0.0.1:1"
-	both := nobody + "," + a.operators + "," + b.operators
+	const unreachable = "127.0.0.1:1"
+	both := unreachable + "," + a.operators + "," + b.operators
 	for _, c := range []struct {
 		operators, args string
 		code            int
 		want            string
 	}{
-		{both, "settings check " + tree, 0, "ok"},
-		{nobody, "routes " + table, 0, "ok: version 7, 1 routes, 1 services, 2 upstreams, evacuated [erie-b]"},
-		{nobody, "routes " + table + " kegs.example /ledger/7", 0, "route ledger to keg-ledger, once, at most 2000 ms and 1 attempts"},
-		{nobody, "routes " + table + " kegs.example /other/ -o json", 1, "no route for kegs.example/other/"},
-		{nobody, "routes " + wrong, 2, "wrong.toml:2: Route.r.Host: is no text"},
-		{nobody, "routes " + table + " kegs.example", 2, "FILE HOST PATH"},
-		{nobody, "explain aa01 " + logs, 0, "too many requests waited"},
-		{nobody, "explain aa01 -o json " + logs, 0, `"Cause": "too many`},
-		{nobody, "explain bb02 " + logs, 1, "no line about request bb02"},
-		{nobody, "explain aa01 " + logs + ".1", 2, "no such file"},
-		{both, "settings check " + bad, 2, bad + ":1: / Slots: 0 is outside 1 to 100000\n" + bad + ":2: / limit: unknown setting; did you mean Limit?"},
-		{both, "settings apply " + bad, 2, "did you mean Limit?"},
-		{both, "settings apply " + tree, 0, "change 1 accepted, in force on 2 of 2 after"},
-		{both, "settings apply " + tree, 2, "already so"},
+		{both, "settings check " + settingsFile, 0, "ok"},
+		{unreachable, "routes " + tableFile, 0, "ok: version 7, 1 routes, 1 services, 2 upstreams, evacuated [erie-b]"},
+		{unreachable, "routes " + tableFile + " kegs.example /ledger/7", 0, "route ledger to keg-ledger, once, at most 2000 ms and 1 attempts"},
+		{unreachable, "routes " + tableFile + " kegs.example /other/ -o json", 1, "no route for kegs.example/other/"},
+		{unreachable, "routes " + badTable, 2, "wrong.toml:2: Route.r.Host: is no text"},
+		{unreachable, "routes " + tableFile + " kegs.example", 2, "FILE HOST PATH"},
+		{unreachable, "explain aa01 " + logFile, 0, "too many requests waited"},
+		{unreachable, "explain aa01 -o json " + logFile, 0, `"Cause": "too many`},
+		{unreachable, "explain bb02 " + logFile, 1, "no line about request bb02"},
+		{unreachable, "explain aa01 " + logFile + ".1", 2, "no such file"},
+		{both, "settings check " + badSettings, 2, badSettings + ":1: / Slots: 0 is outside 1 to 100000\n" + badSettings + ":2: / limit: unknown setting; did you mean Limit?"},
+		{both, "settings apply " + badSettings, 2, "did you mean Limit?"},
+		{both, "settings apply " + settingsFile, 0, "change 1 accepted, in force on 2 of 2 after"},
+		{both, "settings apply " + settingsFile, 2, "already so"},
 		{both, "s set michigan:keg-ledger Slots=3 -m slow", 0, "change 2 accepted, in force on 2 of 2"},
 		{both, "s show michigan/a:keg-ledger", 0, "michigan:keg-ledger"},
 		{both, "s set michigan Slots=none", 2, `michigan Slots: "none" is not a whole number`},
@@ -94,8 +94,8 @@
 		{both, "undrain erie/a", 0, "change 7 accepted"},
 		{both, "status", 0, "headroom erie keg-ledger: 100%"},
 		{both, "st", 0, "any one domain or region may be lost"},
-		{both, "blocks load one " + blocks, 0, "stored 2 blocks"},
-		{both, "blocks load one " + blocks, 2, "another revision"},
+		{both, "blocks load one " + blocksFile, 0, "stored 2 blocks"},
+		{both, "blocks load one " + blocksFile, 2, "another revision"},
 		{both, "s set / BlockTable=one", 0, "change 8 accepted"},
 		{both, "lookup keg-ledger 10.1.2.3", 0, a.callers},
 		{both, "lookup keg-ledger home", 2, "neither an IP number nor a block"},
@@ -104,7 +104,7 @@
 		{both, "status -o xml", 2, "neither text nor json"},
 		{both, "completion bash", 0, "gullvale"},
 		{both, "nonsense", 2, "unknown command"},
-		{nobody, "status", 5, "connection refused"},
+		{unreachable, "status", 5, "connection refused"},
 		{"here", "status", 2, `"here" is not an IP number with a port`},
 	} {
 		t.Run(c.args, func(t *testing.T) {
@@ -131,6 +131,6 @@
 		is.Equal(code, 0)
 		var l struct{ Changes []json.RawMessage }
 		is.NoErr(json.Unmarshal([]byte(out), &l))
-		is.Equal(len(l.Changes), 9) // the one of unknown outcome was made
+		is.Equal(len(l.Changes), 9) // the change with the unknown outcome took effect
 	})
 }
--- a/test/deadly_test.go
+++ b/test/deadly_test.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// crashDelay is how long an upstream lives with a deadly request, restartDelay how long it
-	// takes to come back, and sendInterval how often the request comes.
+	// crashDelay is the time from the arrival of a deadly request until the upstream crashes,
+	// restartDelay the time until it listens again, and sendInterval the time between requests.
 	crashDelay   = 60 * time.Millisecond
 	restartDelay = 1500 * time.Millisecond
 	sendInterval = 150 * time.Millisecond
-	// propagationTime is how long after three upstreams ended under it all daemons have to know of a
-	// request, and maxLateArrivals how often it may reach upstreams after that.
+	// propagationTime is the time, after the third crash caused by a request, by which all daemons
+	// must have quarantined it; maxLateArrivals is how often it may still reach upstreams later.
 	propagationTime = 4 * time.Second
 	maxLateArrivals = 3
 )
 
 type (
-	// crashingUpstreams are upstreams that end when they run /deadly, and come back at their address.
+	// crashingUpstreams crash when they receive /deadly and restart at the same address.
 	crashingUpstreams struct {
 		t    *testing.T
 		lock sync.Mutex
-		// arrivals is when /deadly reached an upstream, ended when one ended.
+		// arrivals holds the times at which /deadly reached an upstream, crashes those at which one crashed.
 		arrivals, crashes []time.Time
 		live              map[string]*httptest.Server
 		closed            bool
@@ -50,7 +50,7 @@
 	return m, addresses
 }
 
-// launch starts a life of an upstream.
+// launch starts an upstream at the address and returns the address it listens on.
 func (m *crashingUpstreams) launch(address string) string {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -59,7 +59,7 @@
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		m.t.Errorf("upstream %s did not come back: %v", address, err)
+		m.t.Errorf("upstream %s did not restart: %v", address, err)
 		return address
 	}
 	address = l.Addr().String()
@@ -76,7 +76,7 @@
 	return address
 }
 
-// crash ends an upstream some time after it began to run a deadly request.
+// crash stops an upstream crashDelay after a deadly request reached it.
 func (m *crashingUpstreams) crash(address string) {
 	m.lock.Lock()
 	s := m.live[address]
@@ -105,9 +105,9 @@
 	}
 }
 
-// lateArrivals returns how often the request reached upstreams when all daemons had to know, and how
-// many upstreams ended in all.
-func (m *crashingUpstreams) lateArrivals() (reached, ended int) {
+// lateArrivals returns how often the request reached upstreams after all daemons had to know
+// about it, and the total number of crashes.
+func (m *crashingUpstreams) lateArrivals() (lateCount, crashCount int) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if len(m.crashes) < maxLateArrivals {
@@ -118,83 +118,84 @@
 	return len(late), len(m.crashes)
 }
 
-// sendRepeatedly sends a request again and again round the daemons, and returns how often each
-// outcome came back.
-func sendRepeatedly(method, target, body string, length time.Duration, all ...*daemon) map[string]int {
+// sendRepeatedly sends a request to the daemons in turn for the given time and returns the
+// number of responses by status, outcome and reason.
+func sendRepeatedly(method, target, body string, duration time.Duration, daemons ...*daemon) map[string]int {
 	var lock sync.Mutex
-	var asked sync.WaitGroup
+	var pending sync.WaitGroup
 	outcomes := map[string]int{}
-	tick := time.NewTicker(sendInterval)
-	defer tick.Stop()
-	for i, end := 0, time.Now().Add(length); time.Now().Before(end); i++ {
-		<-tick.C
-		asked.Go(func() {
-			outcome := "no answer"
-			p, err := all[i%len(all)].send(context.Background(), method, "keg-ledger", target, strings.NewReader(body))
+	ticker := time.NewTicker(sendInterval)
+	defer ticker.Stop()
+	for i, end := 0, time.Now().Add(duration); time.Now().Before(end); i++ {
+		<-ticker.C
+		pending.Go(func() {
+			outcome := "no response"
+			resp, err := daemons[i%len(daemons)].send(context.Background(), method, "keg-ledger", target, strings.NewReader(body))
 			if err == nil {
-				outcome = fmt.Sprint(p.StatusCode, " ", p.Header.Get("Gullvale-Outcome"), " ", p.Header.Get("Gullvale-Reason"))
-				p.Body.Close()
+				outcome = fmt.Sprint(resp.StatusCode, " ", resp.Header.Get("Gullvale-Outcome"), " ", resp.Header.Get("Gullvale-Reason"))
+				resp.Body.Close()
 			}
 			lock.Lock()
 			defer lock.Unlock()
 			outcomes[outcome]++
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 	return outcomes
 }
 
-// startCrashingFleet starts two daemons in each of two regions, and eight upstreams.
+// startCrashingFleet starts two daemons in each of two regions and four crashing upstreams per region.
 func startCrashingFleet(t *testing.T) (*crashingUpstreams, []*daemon) {
 	address := startPlatform(t)
 	m, upstreams := startCrashingUpstreams(t, 8)
-	var all []*daemon
+	var daemons []*daemon
 	for i, region := range []string{"erie", "michigan", "erie", "michigan"} {
-		all = append(all, startDaemon(t, daemonOptions{name: fmt.Sprint(region, "-", i), region: region, domain: "a", platform: address}))
+		daemons = append(daemons, startDaemon(t, daemonOptions{name: fmt.Sprint(region, "-", i), region: region, domain: "a", platform: address}))
 	}
-	eventually(t, "four members", func() bool { return all[0].status().Members == 4 })
-	all[0].applySettings(4, fmt.Sprintf(`Slots = 6
+	eventually(t, "four members", func() bool { return daemons[0].status().Members == 4 })
+	daemons[0].applySettings(4, fmt.Sprintf(`Slots = 6
 [Region.erie.Domain.a.Service.keg-ledger]
 Upstreams = [%s]
 [Region.michigan.Domain.a.Service.keg-ledger]
 Upstreams = [%s]
 `, quoteList(upstreams[:4]), quoteList(upstreams[4:])))
-	eventually(t, "all are owned", func() bool { return totalSlots(all...) == 48 })
-	return m, all
+	eventually(t, "all slots are owned", func() bool { return totalSlots(daemons...) == 48 })
+	return m, daemons
 }
 
-// The owner of an upstream saw the connection lost, and the entry sent the request to the next
-// one, up to four times; neither remembered the request when it came again. The same fault as on
-// the users' platform, found there by an incident in which 18 upstreams ended one after another.
+// TestDeadlyRequestIsStoppedAtOwners guards against a request that crashes one upstream after
+// another. Without a quarantine the owner sees only a lost connection, the entry retries on up to
+// four upstreams, and neither remembers the request when it comes again; one such request stopped
+// 18 upstreams in a row.
 func TestDeadlyRequestIsStoppedAtOwners(t *testing.T) {
-	long := strings.Repeat("long", 10_000)
-	for _, x := range []struct{ name, method, body string }{
+	longBody := strings.Repeat("long", 10_000)
+	for _, c := range []struct{ name, method, body string }{
 		{"GET", http.MethodGet, ""},
 		{"POST", http.MethodPost, ""},
-		{"PUT of a long body", http.MethodPut, long},
+		{"PUT of a long body", http.MethodPut, longBody},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			m, all := startCrashingFleet(t)
-			outcomes := sendRepeatedly(x.method, "/deadly", x.body, 8*time.Second, all...)
-			late, ended := m.lateArrivals()
-			t.Log(ended, "upstreams ended; answers:", outcomes)
-			is.True(ended >= maxLateArrivals)
-			is.True(late <= maxLateArrivals) // sent on although all daemons had to know
+			m, daemons := startCrashingFleet(t)
+			outcomes := sendRepeatedly(c.method, "/deadly", c.body, 8*time.Second, daemons...)
+			late, crashes := m.lateArrivals()
+			t.Log(crashes, "upstream crashes; outcomes:", outcomes)
+			is.True(crashes >= maxLateArrivals)
+			is.True(late <= maxLateArrivals) // forwarded although all daemons had to know about it
 			var listed quarantiner.Listing
-			is.Equal(all[3].callOperator(http.MethodGet, quarantiner.PathList, nil, &listed), http.StatusOK)
+			is.Equal(daemons[3].callOperator(http.MethodGet, quarantiner.PathList, nil, &listed), http.StatusOK)
 			is.Equal(len(listed.Suspects), 1)
 			is.True(listed.Suspects[0].Quarantined)
-			for i, d := range all {
-				p, err := d.send(context.Background(), x.method, "keg-ledger", fmt.Sprint("/other-", i), strings.NewReader(x.body))
+			for i, d := range daemons {
+				resp, err := d.send(context.Background(), c.method, "keg-ledger", fmt.Sprint("/other-", i), strings.NewReader(c.body))
 				is.NoErr(err)
-				p.Body.Close()
-				is.Equal(p.StatusCode, http.StatusOK) // another request
+				resp.Body.Close()
+				is.Equal(resp.StatusCode, http.StatusOK) // other requests are unaffected
 			}
 			lift := quarantiner.PathLift + "?" + quarantiner.FieldFingerprint + "=" + listed.Suspects[0].Fingerprint
-			is.Equal(all[0].callOperator(http.MethodPost, lift, nil, nil), http.StatusOK)
-			for _, d := range all {
-				eventually(t, d.name+" has it lifted", func() bool {
+			is.Equal(daemons[0].callOperator(http.MethodPost, lift, nil, nil), http.StatusOK)
+			for _, d := range daemons {
+				eventually(t, d.name+" has lifted the quarantine", func() bool {
 					return d.callOperator(http.MethodGet, quarantiner.PathList, nil, &listed) == http.StatusOK && len(listed.Suspects) == 0
 				})
 			}
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -23,22 +23,22 @@
 	"github.com/gullvale/gullvale/pkg/recorder"
 )
 
-// The faults of a proxy.
+// Toxiproxy toxics.
 const (
-	// silent swallows what flows in one direction and keeps the connection.
+	// A timeout of 0 drops all data in one direction and keeps the connection open.
 	dropForward  = `{"name":"f","type":"timeout","stream":"upstream","attributes":{"timeout":0}}`
 	dropBackward = `{"name":"b","type":"timeout","stream":"downstream","attributes":{"timeout":0}}`
 	slowBackward = `{"name":"s","type":"latency","stream":"downstream","attributes":{"latency":300}}`
 )
 
 type (
-	// proxy stands in front of one listener.
+	// proxy is a Toxiproxy proxy in front of one listener.
 	proxy struct {
 		t testing.TB
 		*toxiproxy.Proxy
 	}
 
-	// traffic is callers in the background.
+	// traffic generates caller load in the background.
 	traffic struct {
 		t      testing.TB
 		load   caller.Load
@@ -69,7 +69,7 @@
 	p.Toxics.ResetToxics(context.Background())
 }
 
-// startBehindProxy starts a daemon whose links go through a proxy.
+// startBehindProxy starts a daemon whose links pass through a proxy.
 func startBehindProxy(t testing.TB, o daemonOptions) (*daemon, *proxy) {
 	t.Helper()
 	p := newProxy(t, "127.0.0.1:1")
@@ -81,7 +81,7 @@
 	return d, p
 }
 
-// startTraffic has callers ask all daemons for keg-ledger until the test ends.
+// startTraffic sends keg-ledger requests through all daemons until the test ends.
 func startTraffic(t testing.TB, rate float64, daemons ...*daemon) *traffic {
 	t.Helper()
 	var seeds []string
@@ -103,13 +103,13 @@
 	t.Cleanup(func() {
 		cancel()
 		if t.Failed() {
-			t.Logf("%d requests under way, accounts %+v", x.load.Running(), x.load.Accounts())
+			t.Logf("%d requests in flight, accounts %+v", x.load.Running(), x.load.Accounts())
 		}
 	})
 	return x
 }
 
-// answered returns how many requests were answered so far.
+// answered returns the number of requests answered so far.
 func (x *traffic) answered() uint64 {
 	for _, a := range x.load.Accounts() {
 		return a.Answered
@@ -117,35 +117,35 @@
 	return 0
 }
 
-// waitProgress waits until more requests are answered.
+// waitProgress waits until 20 more requests have been answered.
 func (x *traffic) waitProgress() {
 	x.t.Helper()
 	before := x.answered()
 	eventually(x.t, "requests are answered", func() bool { return x.answered() > before+20 })
 }
 
-// stopAndVerify ends the traffic and compares its accounts with the journals.
+// stopAndVerify stops the traffic and checks its accounts against the upstreams' journals.
 func (x *traffic) stopAndVerify(upstreams ...string) caller.Account {
 	x.t.Helper()
 	x.cancel()
 	x.done.Wait()
 	x.load.Wait()
 	if v := x.load.CheckJournals(upstreamJournals(x.t, upstreams...)); v.Violated() {
-		x.t.Fatalf("promises broken: %+v", v)
+		x.t.Fatalf("guarantees violated: %+v", v)
 	}
 	a := x.load.Accounts()[0]
 	x.t.Logf("%d requests: %d answered, %d not run, %d unknown %v", a.Requests, a.Answered, a.NotRun, a.Unknown, a.Reasons)
 	return a
 }
 
-// startTwoUpstreams has two upstreams at one site.
+// startTwoUpstreams starts two upstreams and returns settings that put them at one site.
 func startTwoUpstreams(t *testing.T) (text string, addresses []string) {
 	t.Helper()
 	addresses = []string{startUpstream(t), startUpstream(t)}
 	return fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%s]\nSlots = 6\n", quoteList(addresses)), addresses
 }
 
-// totalSlots adds the slots that daemons own.
+// totalSlots returns the number of slots that the daemons own in total.
 func totalSlots(daemons ...*daemon) float64 {
 	var n float64
 	for _, d := range daemons {
@@ -154,14 +154,14 @@
 	return n
 }
 
-// status returns the status of a daemon, and an empty one while it has none.
+// status returns the status of a daemon, or a zero Status if it has none yet.
 func (d *daemon) status() operator.Status {
 	var st operator.Status
 	d.callOperator(http.MethodGet, operator.PathStatus, nil, &st)
 	return st
 }
 
-// ownedSlots returns how many slots a daemon owns now.
+// ownedSlots returns the number of slots that a daemon owns.
 func (d *daemon) ownedSlots() int {
 	n := 0
 	for _, o := range d.status().Owned {
@@ -170,37 +170,37 @@
 	return n
 }
 
-func waitLeader(t *testing.T, daemons ...*daemon) (lead *daemon, others []*daemon) {
+func waitLeader(t *testing.T, daemons ...*daemon) (current *daemon, others []*daemon) {
 	t.Helper()
-	eventually(t, "one daemon leads", func() bool {
-		lead, others = nil, nil
+	eventually(t, "one daemon is the leader", func() bool {
+		current, others = nil, nil
 		for _, d := range daemons {
 			if d.status().Lead {
-				lead = d
+				current = d
 			} else {
 				others = append(others, d)
 			}
 		}
-		return lead != nil && len(others) == len(daemons)-1
+		return current != nil && len(others) == len(daemons)-1
 	})
-	return lead, others
+	return current, others
 }
 
-// setAndWait makes a change through a daemon and waits until it is in force on members.
+// setAndWait changes a setting through a daemon and waits until it is in force on all members.
 func (d *daemon) setAndWait(members int, value resolver.Value) recorder.Number {
 	d.t.Helper()
-	var a operator.ChangeAnswer
+	var accepted operator.ChangeAnswer
 	eventually(d.t, "the change is accepted", func() bool {
 		return d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{
 			Edits: []resolver.Edit{{Path: "/", Key: resolver.KeyQueueLength, Value: value}},
-		}, &a) == http.StatusOK
+		}, &accepted) == http.StatusOK
 	})
 	eventually(d.t, "the change is in force", func() bool {
-		var f operator.InForceAnswer
-		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, a.Number)
-		return d.callOperator(http.MethodGet, path, nil, &f) == http.StatusOK && f.Members == members && f.InForce == members
+		var status operator.InForceAnswer
+		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, accepted.Number)
+		return d.callOperator(http.MethodGet, path, nil, &status) == http.StatusOK && status.Members == members && status.InForce == members
 	})
-	return a.Number
+	return accepted.Number
 }
 
 func startThreeDaemons(t testing.TB, address string) []*daemon {
@@ -212,7 +212,7 @@
 	return all
 }
 
-// startThreeOwners has three daemons that own all slots of two upstreams.
+// startThreeOwners starts three daemons that together own all slots of two upstreams.
 func startThreeOwners(t *testing.T, address string) (all []*daemon, upstreams []string) {
 	t.Helper()
 	text, upstreams := startTwoUpstreams(t)
@@ -222,23 +222,23 @@
 	return all, upstreams
 }
 
-// TestPlatformOutage takes the platform away. Requests go on, a killed owner is
-// covered, a new daemon comes up from its peers; when the platform is back, all
-// run the next change.
+// TestPlatformOutage takes the platform down. Requests continue, the upstreams of a killed owner
+// are taken over, and a new daemon starts from its peers. Once the platform is back, all daemons
+// apply the next change.
 func TestPlatformOutage(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	all, upstreams := startThreeOwners(t, address)
-	x := startTraffic(t, 100, all...)
-	x.waitProgress()
+	load := startTraffic(t, 100, all...)
+	load.waitProgress()
 
 	setFaults(t, address, platform.Faults{Down: true})
-	// Longer than any lease and membership holds.
+	// Longer than any lease or membership is valid.
 	eventually(t, "the outage is noticed", func() bool {
 		return !all[0].status().Platform
 	})
-	time.Sleep(12 * time.Second) // the fault itself lasts: nothing is awaited here
-	x.waitProgress()
+	time.Sleep(12 * time.Second) // keeps the outage going; waits for no condition
+	load.waitProgress()
 	is.Equal(totalSlots(all...), 12.0)
 
 	victim := all[0]
@@ -255,33 +255,33 @@
 	}
 	victim.signal(syscall.SIGKILL)
 	began := time.Now()
-	eventually(t, "the killed owner's upstreams are covered", func() bool { return totalSlots(rest...) == 12 })
-	t.Logf("covered after %s", time.Since(began).Round(time.Millisecond))
-	x.waitProgress()
+	eventually(t, "the killed owner's upstreams are taken over", func() bool { return totalSlots(rest...) == 12 })
+	t.Logf("taken over after %s", time.Since(began).Round(time.Millisecond))
+	load.waitProgress()
 
 	began = time.Now()
-	fresh := startDaemon(t, daemonOptions{name: "erie-9", region: "erie", domain: "a", platform: address, seeds: []string{rest[0].links}})
-	fresh.waitReady()
+	newcomer := startDaemon(t, daemonOptions{name: "erie-9", region: "erie", domain: "a", platform: address, seeds: []string{rest[0].links}})
+	newcomer.waitReady()
 	eventually(t, "the new daemon forwards", func() bool {
-		p, err := fresh.send(context.Background(), http.MethodGet, "keg-ledger", "/x?Token=fresh", nil)
+		resp, err := newcomer.send(context.Background(), http.MethodGet, "keg-ledger", "/x?Token=fresh", nil)
 		if err != nil {
 			return false
 		}
-		p.Body.Close()
-		return p.StatusCode == http.StatusOK
+		resp.Body.Close()
+		return resp.StatusCode == http.StatusOK
 	})
 	t.Logf("a new daemon forwards after %s without the platform", time.Since(began).Round(time.Millisecond))
 
 	setFaults(t, address, platform.Faults{})
 	rest[0].setAndWait(3, "33")
-	x.waitProgress()
-	a := x.stopAndVerify(upstreams...)
-	is.True(a.Answered > a.Requests*9/10)
+	load.waitProgress()
+	account := load.stopAndVerify(upstreams...)
+	is.True(account.Answered > account.Requests*9/10)
 }
 
-// TestDomainRestartsInOutage kills the only daemon of a failure domain while the
-// platform is down, and starts it again. Its upstream is served by the region
-// meanwhile, and the new daemon comes up from its peers.
+// TestDomainRestartsInOutage kills and restarts the only daemon of a failure domain while the
+// platform is down. The region serves its upstreams in the meantime, and the new daemon starts
+// from its peers.
 func TestDomainRestartsInOutage(t *testing.T) {
 	address := startPlatform(t)
 	text, upstreams := startTwoUpstreams(t)
@@ -289,92 +289,92 @@
 	b := startDaemon(t, daemonOptions{name: "erie-b", region: "erie", domain: "b", platform: address})
 	a.applySettings(2, text)
 	eventually(t, "the domain's own daemon owns its upstreams", func() bool { return a.ownedSlots() == 12 })
-	x := startTraffic(t, 100, a, b)
-	x.waitProgress()
+	load := startTraffic(t, 100, a, b)
+	load.waitProgress()
 	setFaults(t, address, platform.Faults{Down: true})
 	a.signal(syscall.SIGKILL)
 	a.waitExit()
-	eventually(t, "the region covers the domain", func() bool { return b.ownedSlots() == 12 })
-	x.waitProgress()
-	again := startDaemon(t, daemonOptions{name: "erie-a", region: "erie", domain: "a", platform: address,
+	eventually(t, "the region takes over the domain's upstreams", func() bool { return b.ownedSlots() == 12 })
+	load.waitProgress()
+	restarted := startDaemon(t, daemonOptions{name: "erie-a", region: "erie", domain: "a", platform: address,
 		callers: a.callers, links: a.links, operators: a.operators, seeds: []string{b.links}})
-	again.waitReady()
-	x.waitProgress()
+	restarted.waitReady()
+	load.waitProgress()
 	setFaults(t, address, platform.Faults{})
-	eventually(t, "the domain has its upstreams back", func() bool { return again.ownedSlots() == 12 && b.ownedSlots() == 0 })
-	again.setAndWait(2, "55")
-	x.waitProgress()
-	x.stopAndVerify(upstreams...)
+	eventually(t, "the domain has its upstreams back", func() bool { return restarted.ownedSlots() == 12 && b.ownedSlots() == 0 })
+	restarted.setAndWait(2, "55")
+	load.waitProgress()
+	load.stopAndVerify(upstreams...)
 }
 
-// TestCutOff takes the platform and all links from one daemon only. It says so,
-// goes on with what it has, and catches up afterwards.
+// TestCutOff cuts one daemon off from the platform and from all links. It reports this, serves
+// the settings it has, and catches up once it is connected again.
 func TestCutOff(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	text, _ := startTwoUpstreams(t)
-	own := newProxy(t, strings.TrimPrefix(address, "http://"))
-	a, pa := startBehindProxy(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: "http://" + own.Listen})
+	platformProxy := newProxy(t, strings.TrimPrefix(address, "http://"))
+	a, pa := startBehindProxy(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: "http://" + platformProxy.Listen})
 	b, pb := startBehindProxy(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
 	b.applySettings(2, text)
 	before := a.status().Settings
-	for _, p := range []*proxy{own, pa, pb} {
+	for _, p := range []*proxy{platformProxy, pa, pb} {
 		p.Stop()
 	}
-	eventually(t, "it knows that it is cut off", func() bool {
+	eventually(t, "the daemon reports that it is cut off", func() bool {
 		st := a.status()
 		return !st.Platform && !st.LeadReached
 	})
-	eventually(t, "the other is alone on the roster", func() bool { return b.status().Members == 1 })
-	n := b.setAndWait(1, "31")
-	p, err := http.Get("http://" + a.callers + "/Lookup?Service=keg-ledger")
+	eventually(t, "the other is the only member", func() bool { return b.status().Members == 1 })
+	number := b.setAndWait(1, "31")
+	resp, err := http.Get("http://" + a.callers + "/Lookup?Service=keg-ledger")
 	is.NoErr(err)
-	p.Body.Close()
-	is.Equal(p.StatusCode, http.StatusOK) // it serves what it has
+	resp.Body.Close()
+	is.Equal(resp.StatusCode, http.StatusOK) // serves the last known settings
 	is.Equal(a.status().Settings, before)
-	for _, p := range []*proxy{own, pa, pb} {
+	for _, p := range []*proxy{platformProxy, pa, pb} {
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	eventually(t, "it has caught up", func() bool { return a.status().Settings >= n && a.status().Valid })
+	eventually(t, "the daemon has caught up", func() bool { return a.status().Settings >= number && a.status().Valid })
 	b.setAndWait(2, "32")
 }
 
-// TestLeadPaused stops the lead for longer than its lease, and lets it go on.
-// Another leads meanwhile, and the first counts for nothing afterwards.
+// TestLeadPaused suspends the leader for longer than its lease. Another daemon becomes leader,
+// and the first has no authority when it resumes.
 func TestLeadPaused(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	text, upstreams := startTwoUpstreams(t)
 	all := startThreeDaemons(t, address)
 	all[0].applySettings(3, text)
-	x := startTraffic(t, 50, all...)
-	lead, others := waitLeader(t, all...)
-	plan := lead.status().Plan
-	lead.signal(syscall.SIGSTOP)
+	load := startTraffic(t, 50, all...)
+	oldLeader, others := waitLeader(t, all...)
+	plan := oldLeader.status().Plan
+	oldLeader.signal(syscall.SIGSTOP)
 	began := time.Now()
-	second, _ := waitLeader(t, others...)
-	t.Logf("another leads after %s", time.Since(began).Round(time.Millisecond))
-	eventually(t, "another planner seals the plan", func() bool { return second.status().Plan > plan })
-	t.Logf("another plans after %s", time.Since(began).Round(time.Millisecond))
-	eventually(t, "the paused member is off the roster", func() bool {
-		return second.status().Members == 2
+	newLeader, _ := waitLeader(t, others...)
+	t.Logf("new leader after %s", time.Since(began).Round(time.Millisecond))
+	eventually(t, "the new planner publishes a plan", func() bool { return newLeader.status().Plan > plan })
+	t.Logf("new plan after %s", time.Since(began).Round(time.Millisecond))
+	eventually(t, "the suspended member is off the roster", func() bool {
+		return newLeader.status().Members == 2
 	})
 	t.Logf("off the roster after %s", time.Since(began).Round(time.Millisecond))
-	n := second.setAndWait(2, "21")
-	lead.signal(syscall.SIGCONT)
-	eventually(t, "the paused daemon is a member again", func() bool {
-		return lead.status().Valid && !lead.status().Lead
+	n := newLeader.setAndWait(2, "21")
+	oldLeader.signal(syscall.SIGCONT)
+	eventually(t, "the suspended daemon is a member again", func() bool {
+		return oldLeader.status().Valid && !oldLeader.status().Lead
 	})
-	is.True(second.setAndWait(3, "22") > n)
-	is.True(second.status().Lead)
-	x.waitProgress()
-	x.stopAndVerify(upstreams...)
+	is.True(newLeader.setAndWait(3, "22") > n)
+	is.True(newLeader.status().Lead)
+	load.waitProgress()
+	load.stopAndVerify(upstreams...)
 }
 
-// TestOwnerPaused stops an owner while it has requests. Its upstreams go to
-// others once it has lapsed, and nothing runs twice when it goes on.
+// TestOwnerPaused suspends an owner that has requests in flight. Others take over its upstreams
+// once its membership has expired, and no request runs twice when it resumes.
 func TestOwnerPaused(t *testing.T) {
 	address := startPlatform(t)
 	all, upstreams := startThreeOwners(t, address)
@@ -384,8 +384,8 @@
 			owner = d
 		}
 	}
-	x := startTraffic(t, 100, all...)
-	x.waitProgress()
+	load := startTraffic(t, 100, all...)
+	load.waitProgress()
 	owner.signal(syscall.SIGSTOP)
 	var rest []*daemon
 	for _, d := range all {
@@ -394,18 +394,18 @@
 		}
 	}
 	began := time.Now()
-	eventually(t, "its upstreams are covered", func() bool { return totalSlots(rest...) == 12 })
-	t.Logf("covered after %s", time.Since(began).Round(time.Millisecond))
-	x.waitProgress()
+	eventually(t, "its upstreams are taken over", func() bool { return totalSlots(rest...) == 12 })
+	t.Logf("taken over after %s", time.Since(began).Round(time.Millisecond))
+	load.waitProgress()
 	owner.signal(syscall.SIGCONT)
-	eventually(t, "it is a member again", func() bool { return owner.status().Valid })
+	eventually(t, "the owner is a member again", func() bool { return owner.status().Valid })
 	eventually(t, "all slots are owned again", func() bool { return totalSlots(all...) == 12 })
-	x.waitProgress()
-	x.stopAndVerify(upstreams...)
+	load.waitProgress()
+	load.stopAndVerify(upstreams...)
 }
 
-// TestLinksFail lets the links to one daemon be silent in either direction, slow,
-// and cut, under load.
+// TestLinksFail makes the links to one daemon drop data in either direction, slow, and closed,
+// under load.
 func TestLinksFail(t *testing.T) {
 	address := startPlatform(t)
 	text, upstreams := startTwoUpstreams(t)
@@ -413,29 +413,29 @@
 	b, pb := startBehindProxy(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
 	a.applySettings(2, text)
 	eventually(t, "all slots are owned", func() bool { return totalSlots(a, b) == 12 })
-	x := startTraffic(t, 100, a, b)
-	x.waitProgress()
+	load := startTraffic(t, 100, a, b)
+	load.waitProgress()
 	for _, p := range []*proxy{pa, pb} {
 		for _, toxic := range []string{dropForward, dropBackward, slowBackward} {
 			p.addToxic(toxic)
-			x.waitProgress()
+			load.waitProgress()
 			p.removeToxics()
-			x.waitProgress()
+			load.waitProgress()
 		}
 		p.Stop()
-		x.waitProgress()
+		load.waitProgress()
 		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		x.waitProgress()
+		load.waitProgress()
 	}
 	eventually(t, "both are members and own all slots", func() bool { return totalSlots(a, b) == 12 })
 	a.setAndWait(2, "44")
-	x.stopAndVerify(upstreams...)
+	load.stopAndVerify(upstreams...)
 }
 
-// TestOwnerNotDialled refuses all links to the owner of the only upstream. The other
-// entry goes on answering: the owner's own link to it stands.
+// TestOwnerNotDialled refuses all links to the owner of the only upstream. The other entry keeps
+// answering over the link that the owner itself opened.
 func TestOwnerNotDialled(t *testing.T) {
 	address := startPlatform(t)
 	upstream := startUpstream(t)
@@ -449,12 +449,12 @@
 	}
 	proxy.Stop()
 	answers := func() bool {
-		p, err := entry.send(t.Context(), http.MethodGet, "keg-ledger", "/item?Bytes=40&Token=t", http.NoBody)
+		resp, err := entry.send(t.Context(), http.MethodGet, "keg-ledger", "/item?Bytes=40&Token=t", http.NoBody)
 		if err != nil {
 			return false
 		}
-		defer p.Body.Close()
-		return p.StatusCode == http.StatusOK
+		defer resp.Body.Close()
+		return resp.StatusCode == http.StatusOK
 	}
 	eventually(t, "the other entry answers", answers)
 	for range 50 {
@@ -462,43 +462,43 @@
 			t.Fatal("not answered")
 		}
 	}
-	// Longer than a lead waits for heartbeats: nothing is awaited here.
+	// Longer than the leader waits for heartbeats; waits for no condition.
 	time.Sleep(leader.Silence.Duration() + time.Second)
 	eventually(t, "both are members", func() bool { return a.status().Members == 2 && b.status().Valid && a.status().Valid })
 	a.setAndWait(2, "44")
 	if !answers() {
-		t.Fatal("not answered after a while")
+		t.Fatal("not answered after the heartbeat timeout")
 	}
 }
 
-// TestReplacedVM kills a daemon and starts another at the same addresses, which
-// must be nobody's former life.
+// TestReplacedVM kills a daemon and starts another at the same addresses, which must not be taken
+// for the old incarnation.
 func TestReplacedVM(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	text, upstreams := startTwoUpstreams(t)
 	all := startThreeDaemons(t, address)
 	all[0].applySettings(3, text)
-	x := startTraffic(t, 50, all...)
-	x.waitProgress()
+	load := startTraffic(t, 50, all...)
+	load.waitProgress()
 	old := all[2]
 	old.signal(syscall.SIGKILL)
 	old.waitExit()
 	began := time.Now()
-	again := startDaemon(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address,
+	replacement := startDaemon(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address,
 		callers: old.callers, links: old.links, operators: old.operators})
-	again.waitReady()
+	replacement.waitReady()
 	eventually(t, "three members, all slots owned", func() bool {
-		return all[0].status().Members == 3 && again.status().Valid && totalSlots(all[0], all[1], again) == 12
+		return all[0].status().Members == 3 && replacement.status().Valid && totalSlots(all[0], all[1], replacement) == 12
 	})
-	t.Logf("whole again after %s", time.Since(began).Round(time.Millisecond))
+	t.Logf("recovered after %s", time.Since(began).Round(time.Millisecond))
 	all[0].setAndWait(3, "12")
-	x.waitProgress()
-	a := x.stopAndVerify(upstreams...)
-	// Requests under way at the killed daemon may have run: at 50 a second of
-	// some 10 ms, one or two. No other is lost, however long the roster takes:
-	// first tries of its keys go elsewhere.
-	const underWay = 5
-	is.True(a.Unknown <= underWay)
-	is.True(a.Answered > a.Requests*9/10)
+	load.waitProgress()
+	account := load.stopAndVerify(upstreams...)
+	// Requests in flight at the killed daemon may have run: one or two, at 50 per second of about
+	// 10 ms each. No others may be lost, however long the roster takes, because first attempts for
+	// keys of the lost home go elsewhere.
+	const inFlight = 5
+	is.True(account.Unknown <= inFlight)
+	is.True(account.Answered > account.Requests*9/10)
 }
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -27,20 +27,18 @@
 const (
 	token = "a-token-of-the-tests"
 
-	// waitTimeout bounds every wait for something that must come. It is no
-	// measure: a test that runs into it has failed.
+	// waitTimeout bounds every wait for an expected condition; a test that reaches it fails.
 	waitTimeout  = 60 * time.Second
 	pollInterval = 20 * time.Millisecond
 
-	// dumpTimeout bounds how long a process of a failed test may take to print its
-	// goroutines.
+	// dumpTimeout bounds how long a process of a failed test may take to print its goroutines.
 	dumpTimeout = 5 * time.Second
 )
 
 var binaries string
 
 type (
-	// process is one process that a test started.
+	// process is a process started by a test.
 	process struct {
 		t      testing.TB
 		name   string
@@ -50,29 +48,28 @@
 		exited chan struct{}
 	}
 
-	// daemon is a gullvaled and its addresses.
+	// daemon is a running gullvaled and its addresses.
 	daemon struct {
 		*process
 		callers   string
 		links     string
 		operators string
-		// linksBound is what links listen on, links what others are told.
+		// linksBound is the listen address for links; links is the advertised one.
 		linksBound string
 	}
 
-	// daemonOptions is what differs between the daemons of a test.
+	// daemonOptions holds the settings that differ between the daemons of a test.
 	daemonOptions struct {
 		name     string
 		region   string
 		domain   string
 		platform string
 		seeds    []string
-		// advertise is the address for links that others are told, "" for
-		// the one listened on.
+		// advertise is the address for links advertised to others; "" means the listen address.
 		advertise string
-		// startCallers, links and operators are listened on, "" for any port.
+		// callers, links and operators are listen addresses; "" means any port.
 		callers, links, operators string
-		// extraSettings is further lines of the settings.
+		// extraSettings is appended to the top-level settings.
 		extraSettings string
 	}
 )
@@ -123,14 +120,14 @@
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 	if strings.Contains(p.logText(), "DATA RACE") {
-		p.t.Errorf("%s has a data race", p.name)
+		p.t.Errorf("%s reported a data race", p.name)
 	}
 	if p.t.Failed() {
 		p.t.Logf("output of %s:\n%s", p.name, p.logText())
 	}
 }
 
-// dumpGoroutines has the process print what its goroutines wait for, and end.
+// dumpGoroutines makes the process print its goroutines and exit.
 func (p *process) dumpGoroutines() {
 	_ = p.cmd.Process.Signal(syscall.SIGQUIT)
 	select {
@@ -139,7 +136,7 @@
 	}
 }
 
-// Write collects the output.
+// Write appends to the collected output.
 func (p *process) Write(b []byte) (int, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -159,7 +156,7 @@
 	}
 }
 
-// waitExit waits for the process and returns its exit code.
+// waitExit waits until the process has exited and returns its exit code.
 func (p *process) waitExit() int {
 	p.t.Helper()
 	select {
@@ -170,7 +167,7 @@
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// waitField waits for a JSON line that has the field and returns the line.
+// waitField waits for a JSON output line that contains the field and returns the line.
 func (p *process) waitField(name string) map[string]any {
 	p.t.Helper()
 	var found map[string]any
@@ -188,13 +185,13 @@
 	return found
 }
 
-// eventually waits until a condition holds.
-func eventually(t testing.TB, what string, done func() bool) {
+// eventually polls until done returns true and fails the test after waitTimeout.
+func eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	end := time.Now().Add(waitTimeout)
-	for !done() {
-		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+	deadline := time.Now().Add(waitTimeout)
+	for !condition() {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met: %s", description)
 		}
 		time.Sleep(pollInterval)
 	}
@@ -266,41 +263,41 @@
 	return strings.Join(out, ", ")
 }
 
-// callOperator makes one call of an operator and decodes the answer.
-func (d *daemon) callOperator(method, path string, body, answer any) int {
+// callOperator sends a request to the operator API and decodes the response.
+func (d *daemon) callOperator(method, path string, body, response any) int {
 	d.t.Helper()
 	b, err := json.Marshal(body)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	q, err := http.NewRequest(method, "http://"+d.operators+path, bytes.NewReader(b))
+	req, err := http.NewRequest(method, "http://"+d.operators+path, bytes.NewReader(b))
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	q.Header.Set("Authorization", "Bearer "+token)
-	p, err := http.DefaultClient.Do(q)
+	req.Header.Set("Authorization", "Bearer "+token)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	defer p.Body.Close()
-	if answer != nil {
-		if err := json.NewDecoder(p.Body).Decode(answer); err != nil {
+	defer resp.Body.Close()
+	if response != nil {
+		if err := json.NewDecoder(resp.Body).Decode(response); err != nil {
 			d.t.Fatal(err)
 		}
 	}
-	return p.StatusCode
+	return resp.StatusCode
 }
 
-// metric returns a counter or gauge of the daemon, added up over its labels.
+// metric returns the value of a counter or gauge of the daemon, summed over its labels.
 func (d *daemon) metric(name string) float64 {
 	d.t.Helper()
-	p, err := http.Get("http://" + d.operators + operator.PathMetrics)
+	resp, err := http.Get("http://" + d.operators + operator.PathMetrics)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	defer p.Body.Close()
+	defer resp.Body.Close()
 	var sum float64
-	s := bufio.NewScanner(p.Body)
+	s := bufio.NewScanner(resp.Body)
 	for s.Scan() {
 		text, ok := strings.CutPrefix(s.Text(), "gullvale_"+name)
 		if !ok || !strings.HasPrefix(text, "{") && !strings.HasPrefix(text, " ") {
@@ -314,63 +311,63 @@
 	return sum
 }
 
-// waitReady waits until the daemon is healthy.
+// waitReady waits until the daemon reports that it is healthy.
 func (d *daemon) waitReady() {
 	d.t.Helper()
 	eventually(d.t, d.name+" is healthy", func() bool {
-		p, err := http.Get("http://" + d.operators + operator.PathHealth)
+		resp, err := http.Get("http://" + d.operators + operator.PathHealth)
 		if err != nil {
 			return false
 		}
-		p.Body.Close()
-		return p.StatusCode == http.StatusOK
+		resp.Body.Close()
+		return resp.StatusCode == http.StatusOK
 	})
 }
 
-// applySettings replaces the whole tree and waits until it is in force everywhere.
+// applySettings replaces all settings and waits until they are in force on all members.
 func (d *daemon) applySettings(members int, text string) {
 	d.t.Helper()
 	is := is.New(d.t)
 	d.waitReady()
-	var a operator.ChangeAnswer
-	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{TOML: text}, &a), http.StatusOK)
-	eventually(d.t, "settings are in force on all", func() bool {
-		var f operator.InForceAnswer
-		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, a.Number)
-		return d.callOperator(http.MethodGet, path, nil, &f) == http.StatusOK && f.Members == members && f.InForce == members
+	var accepted operator.ChangeAnswer
+	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{TOML: text}, &accepted), http.StatusOK)
+	eventually(d.t, "settings are in force on all members", func() bool {
+		var status operator.InForceAnswer
+		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, accepted.Number)
+		return d.callOperator(http.MethodGet, path, nil, &status) == http.StatusOK && status.Members == members && status.InForce == members
 	})
 }
 
-// setFaults sets what goes wrong at a stand-in platform.
+// setFaults sets the faults of a stand-in platform.
 func setFaults(t testing.TB, address string, f platform.Faults) {
 	t.Helper()
 	b, err := json.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := http.Post(address+"/Faults", "application/json", bytes.NewReader(b))
+	resp, err := http.Post(address+"/Faults", "application/json", bytes.NewReader(b))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Body.Close()
+	resp.Body.Close()
 }
 
-// upstreamCounts returns what a stand-in upstream did.
+// upstreamCounts returns the counts of a stand-in upstream.
 func upstreamCounts(t testing.TB, address string) server.Counts {
 	t.Helper()
-	p, err := http.Get("http://" + address + "/Journal")
+	resp, err := http.Get("http://" + address + "/Journal")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Body.Close()
+	defer resp.Body.Close()
 	var c server.Counts
-	if err := json.NewDecoder(p.Body).Decode(&c); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(&c); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// upstreamJournals returns how often each token ran, by the journals of all upstreams.
+// upstreamJournals returns the journal of each upstream: how often each token ran.
 func upstreamJournals(t testing.TB, upstreams ...string) []map[string]int {
 	t.Helper()
 	var out []map[string]int
@@ -380,12 +377,12 @@
 	return out
 }
 
-// send sends one request to an entry.
+// send sends a request to the daemon as a caller.
 func (d *daemon) send(ctx context.Context, method, service, target string, body io.Reader) (*http.Response, error) {
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+d.callers+target, body)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+d.callers+target, body)
 	if err != nil {
 		return nil, err
 	}
-	q.Header.Set("Gullvale-Service", service)
-	return http.DefaultClient.Do(q)
+	req.Header.Set("Gullvale-Service", service)
+	return http.DefaultClient.Do(req)
 }
--- a/test/keys_test.go
+++ b/test/keys_test.go
@@ -16,34 +16,34 @@
 	"github.com/gullvale/gullvale/internal/request/forwarder"
 )
 
-// postWithKey sends a POST with a key and returns the outcome, the body, and whether the
-// answer was kept from an earlier try.
+// postWithKey sends a POST with an idempotency key and returns the outcome, the body, and whether
+// the response was replayed from an earlier attempt.
 func (d *daemon) postWithKey(key string) (outcome, body string, replayed bool, err error) {
 	return d.postAttempt(key, "")
 }
 
-// postAttempt says first that this is the first try of the key, when it is not "".
-func (d *daemon) postAttempt(key, first string) (outcome, body string, replayed bool, err error) {
-	q, err := http.NewRequest(http.MethodPost, "http://"+d.callers+"/x?Bytes=40&Token="+key, strings.NewReader("one keg back"))
+// postAttempt is postWithKey with the value of Gullvale-First-Try; "" omits the header.
+func (d *daemon) postAttempt(key, firstAttempt string) (outcome, body string, replayed bool, err error) {
+	req, err := http.NewRequest(http.MethodPost, "http://"+d.callers+"/x?Bytes=40&Token="+key, strings.NewReader("one keg back"))
 	if err != nil {
 		return "", "", false, err
 	}
-	q.Header.Set("Gullvale-Service", "keg-ledger")
-	q.Header["idempotency-key"] = []string{key}
-	if first != "" {
-		q.Header.Set("Gullvale-First-Try", first)
+	req.Header.Set("Gullvale-Service", "keg-ledger")
+	req.Header["idempotency-key"] = []string{key}
+	if firstAttempt != "" {
+		req.Header.Set("Gullvale-First-Try", firstAttempt)
 	}
-	p, err := http.DefaultClient.Do(q)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return "", "", false, err
 	}
-	defer p.Body.Close()
-	b, err := io.ReadAll(p.Body)
-	return p.Header.Get("Gullvale-Outcome"), string(b), p.Header.Get("Gullvale-Replayed") != "", err
+	defer resp.Body.Close()
+	b, err := io.ReadAll(resp.Body)
+	return resp.Header.Get("Gullvale-Outcome"), string(b), resp.Header.Get("Gullvale-Replayed") != "", err
 }
 
-// TestFirstTryOfLostHome sends a key whose home is no member: only a first try is
-// known not to have run.
+// TestFirstTryOfLostHome sends a key whose home is not a member. Only a request marked as the
+// first attempt is known not to have run.
 func TestFirstTryOfLostHome(t *testing.T) {
 	is := is.New(t)
 	text, _ := startTwoUpstreams(t)
@@ -51,18 +51,17 @@
 	d.applySettings(1, text)
 	const key = "00000000000000aa.1"
 	for _, c := range []struct {
-		first string
-		want  string
+		firstAttempt string
+		want         string
 	}{{"", "unknown"}, {"1", "not-run"}} {
-		outcome, _, _, err := d.postAttempt(key, c.first)
+		outcome, _, _, err := d.postAttempt(key, c.firstAttempt)
 		is.NoErr(err)
 		is.Equal(outcome, c.want)
 	}
 }
 
-// TestKeysRunOnce sends each key several times at once through all entries, kills
-// a daemon, and sends all keys again. No key may ever run twice, and all who are
-// answered get the same answer.
+// TestKeysRunOnce sends each key through all entries concurrently, kills a daemon, and sends all
+// keys again. No key may run twice, and all answered attempts of a key get the same response.
 func TestKeysRunOnce(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
@@ -72,15 +71,15 @@
 		keys = append(keys, fmt.Sprint("deposit-", i))
 		keys = append(keys, fmt.Sprintf("%s.%d", incarnationOf(t, all[i%3]), i))
 	}
-	var answers sync.Map
+	var responses sync.Map
 	var replays, unknown atomic.Int64
-	round := func(daemons []*daemon) {
-		var done sync.WaitGroup
+	sendAll := func(daemons []*daemon) {
+		var wg sync.WaitGroup
 		for _, key := range keys {
 			for _, d := range daemons {
-				done.Add(1)
+				wg.Add(1)
 				go func() {
-					defer done.Done()
+					defer wg.Done()
 					outcome, body, replayed, err := d.postWithKey(key)
 					switch {
 					case err != nil:
@@ -90,8 +89,8 @@
 					case outcome != "answered":
 						t.Errorf("%s: %s %s", key, outcome, body)
 					default:
-						if first, loaded := answers.LoadOrStore(key, body); loaded && first != body {
-							t.Errorf("%s: another answer", key)
+						if first, loaded := responses.LoadOrStore(key, body); loaded && first != body {
+							t.Errorf("%s: different response", key)
 						}
 					}
 					if replayed {
@@ -100,9 +99,9 @@
 				}()
 			}
 		}
-		done.Wait()
+		wg.Wait()
 	}
-	check := func() {
+	checkRunOnce := func() {
 		total := map[string]int{}
 		for _, journal := range upstreamJournals(t, upstreams...) {
 			for token, n := range journal {
@@ -113,32 +112,32 @@
 			is.Equal(total[key], 1)
 		}
 	}
-	round(all)
-	check()
-	is.Equal(replays.Load(), int64(2*len(keys))) // of three tries each, one ran
+	sendAll(all)
+	checkRunOnce()
+	is.Equal(replays.Load(), int64(2*len(keys))) // one of the three attempts per key ran
 	is.Equal(unknown.Load(), int64(0))
 
 	victim, rest := all[0], all[1:]
-	gone := incarnationOf(t, victim)
+	lostIncarnation := incarnationOf(t, victim)
 	victim.signal(syscall.SIGKILL)
-	eventually(t, "it is off the roster", func() bool { return rest[0].status().Members == 2 && rest[1].status().Members == 2 })
+	eventually(t, "the killed daemon is off the roster", func() bool { return rest[0].status().Members == 2 && rest[1].status().Members == 2 })
 	eventually(t, "all slots are owned", func() bool { return totalSlots(rest...) == 12 })
-	round(rest)
-	check()
-	is.True(unknown.Load() > 0) // the keys of the killed daemon
+	sendAll(rest)
+	checkRunOnce()
+	is.True(unknown.Load() > 0) // keys whose home was the killed daemon
 	t.Logf("%d replays, %d unknown after the loss", replays.Load(), unknown.Load())
 
-	p, err := http.Get("http://" + rest[0].callers + "/Outcome?Key=" + gone + ".0")
+	resp, err := http.Get("http://" + rest[0].callers + "/Outcome?Key=" + lostIncarnation + ".0")
 	is.NoErr(err)
-	defer p.Body.Close()
+	defer resp.Body.Close()
 	var a forwarder.OutcomeAnswer
-	is.NoErr(json.NewDecoder(p.Body).Decode(&a))
+	is.NoErr(json.NewDecoder(resp.Body).Decode(&a))
 	is.Equal(a.Outcome, "unknown")
-	q, err := http.Get("http://" + rest[0].callers + "/Outcome?Key=" + keys[3])
+	second, err := http.Get("http://" + rest[0].callers + "/Outcome?Key=" + keys[3])
 	is.NoErr(err)
-	defer q.Body.Close()
-	is.NoErr(json.NewDecoder(q.Body).Decode(&a))
-	is.Equal(a.Outcome, "answered") // by redirect, if need be
+	defer second.Body.Close()
+	is.NoErr(json.NewDecoder(second.Body).Decode(&a))
+	is.Equal(a.Outcome, "answered") // possibly after a redirect to the home
 }
 
 func incarnationOf(t *testing.T, d *daemon) string {
--- a/test/link_limit_test.go
+++ b/test/link_limit_test.go
@@ -11,11 +11,11 @@
 	"github.com/gullvale/gullvale/pkg/finder"
 )
 
-// BenchmarkExports sends exports and short requests from one region to another over
-// a link of 2 MB/s that the exports alone would fill, without and with a limit for
-// them, and tells what the short ones wait.
+// BenchmarkExports sends exports and short requests between two regions over a link of 2 MB/s that
+// the exports alone would saturate, without and with an export rate limit, and reports the latency
+// of both classes.
 func BenchmarkExports(b *testing.B) {
-	const link = 2000 // KB a second
+	const link = 2000 // KB/s
 	for _, rate := range []int{0, 1500000, 1000000} {
 		b.Run(fmt.Sprint("limit=", rate), func(b *testing.B) {
 			address := startPlatform(b)
@@ -33,15 +33,15 @@
 	}
 }
 
-// runMixedLoad drives both kinds of requests at one entry and reports their latency.
+// runMixedLoad sends both classes of requests through one entry and reports their latency.
 func runMixedLoad(b *testing.B, entry *daemon) {
 	b.Helper()
-	// Look-ups name entries near the upstreams; these callers know one entry only.
-	one := func(ctx context.Context, network, _ string) (net.Conn, error) {
+	// Lookups would return entries near the upstreams; all connections go to this entry instead.
+	dialEntry := func(ctx context.Context, network, _ string) (net.Conn, error) {
 		var d net.Dialer
 		return d.DialContext(ctx, network, entry.callers)
 	}
-	f := &finder.Finder{Seeds: []string{entry.callers}, HTTP: caller.NewClient(one)}
+	f := &finder.Finder{Seeds: []string{entry.callers}, HTTP: caller.NewClient(dialEntry)}
 	var load caller.Load
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
--- a/test/loss_scenarios_test.go
+++ b/test/loss_scenarios_test.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// scenarioSlots and scenarioServiceMillis keep several requests under way at each upstream.
+	// scenarioSlots and scenarioServiceMillis keep several requests in flight at each upstream.
 	scenarioSlots         = 24
 	scenarioServiceMillis = 60.0
 	scenarioRate          = 60.0
-	// scenarioPending is how many requests begin at a daemon that is silent.
+	// scenarioPending is the number of requests that must be waiting for a suspended daemon.
 	scenarioPending = 20
 )
 
-// moment is a way in which a failure domain is lost.
+// lossScenario is an order of failures by which a failure domain is lost.
 type lossScenario struct {
 	name string
 	fail func(*testing.T, *failureDomain)
@@ -37,47 +37,47 @@
 	{"SilenceThenDaemon", func(t *testing.T, p *failureDomain) {
 		p.daemon.signal(syscall.SIGSTOP)
 		before := p.load.Running()
-		eventually(t, "requests wait for the silent daemon", func() bool { return p.load.Running() > before+scenarioPending })
+		eventually(t, "requests wait for the suspended daemon", func() bool { return p.load.Running() > before+scenarioPending })
 		p.daemon.kill()
 		p.failUpstream()
 	}},
 }
 
-// TestLostDomainRunsNothingTwice guards against a request that runs in a lost failure
-// domain and again elsewhere. The domains of a region are lost in turn at different moments
-// of the requests, none of which may run twice.
+// TestLostDomainRunsNothingTwice guards against a request that runs in a lost failure domain and
+// again elsewhere. It takes down two domains of a region in turn, at different stages of the
+// requests in flight.
 func TestLostDomainRunsNothingTwice(t *testing.T) {
 	for _, m := range lossScenarios {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			all := startDomainsWithServiceTime(t, scenarioSlots, scenarioServiceMillis, "erie/a", "erie/b", "michigan/a", "superior/a")
-			stop := startCallersWithPosts(t, scenarioRate, 1, all)
-			waitDomainsServed(t, all)
-			for _, p := range all[:2] {
+			domains := startDomainsWithServiceTime(t, scenarioSlots, scenarioServiceMillis, "erie/a", "erie/b", "michigan/a", "superior/a")
+			stop := startCallersWithPosts(t, scenarioRate, 1, domains)
+			waitDomainsServed(t, domains)
+			for _, p := range domains[:2] {
 				m.fail(t, p)
-				waitDomainsServed(t, all)
+				waitDomainsServed(t, domains)
 			}
 			stop()
-			verifyDomains(t, all)
+			verifyDomains(t, domains)
 		})
 	}
 }
 
-// verifyDomains compares what callers were told with the journals of all upstreams.
-func verifyDomains(t *testing.T, all []*failureDomain) {
+// verifyDomains checks what callers were told against the journals of all upstreams.
+func verifyDomains(t *testing.T, domains []*failureDomain) {
 	t.Helper()
 	var journals []map[string]int
-	for _, p := range all {
+	for _, p := range domains {
 		p.load.Wait()
 	}
-	for _, p := range all {
+	for _, p := range domains {
 		journals = append(journals, p.server.Counts().Journal)
 	}
-	for _, p := range all {
+	for _, p := range domains {
 		a := p.account()
 		t.Logf("%s/%s: %d requests, %d answered, %d not run, %d unknown %v", p.region, p.domain, a.Requests, a.Answered, a.NotRun, a.Unknown, a.Reasons)
 		if v := p.load.CheckJournals(journals); v.Violated() {
-			t.Errorf("promises broken: %+v", v)
+			t.Errorf("guarantees violated: %+v", v)
 		}
 	}
 }
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -20,15 +20,15 @@
 	"github.com/gullvale/gullvale/internal/version/resolver"
 )
 
-// The measurements here start real processes and take real time. They run only
-// on request: go test -run xxx -bench . ./test/
+// The benchmarks in this file start real processes and run in real time:
+// go test -run xxx -bench . ./test/
 
 const (
 	ticksPerSecond = 100
 	pageKB         = 4
 )
 
-// cpuTime returns the processor time that a process has used.
+// cpuTime returns the CPU time that the process has used.
 func (p *process) cpuTime() time.Duration {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -40,7 +40,7 @@
 	return time.Duration(user+system) * time.Second / ticksPerSecond
 }
 
-// residentKB returns the resident memory of a process in KB.
+// residentKB returns the resident set size of the process in KB.
 func (p *process) residentKB() float64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
 	if err != nil {
@@ -50,7 +50,7 @@
 	return float64(pages * pageKB)
 }
 
-// idleDuration is how long an idle fleet is watched.
+// idleDuration is how long the resource usage of a fleet is measured.
 const idleDuration = 15 * time.Second
 
 func startFleet(b *testing.B, platform string, n int, regions ...string) []*daemon {
@@ -70,7 +70,7 @@
 	return all
 }
 
-// fleetSettings has one upstream of keg-ledger in each failure domain.
+// fleetSettings returns settings with one keg-ledger upstream in each failure domain.
 func fleetSettings(b *testing.B, upstream func() string) string {
 	b.Helper()
 	text := ""
@@ -82,7 +82,7 @@
 	return text
 }
 
-// BenchmarkIdle tells what a daemon spends on control while nothing happens.
+// BenchmarkIdle reports the cost of the control plane per daemon of an idle fleet.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{5, 10, 20, 40} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -104,35 +104,34 @@
 	}
 }
 
-// reportIdle watches a fleet and reports what one daemon spends, and what all
-// together ask of the platform.
+// reportIdle reports the resource usage per daemon over idleDuration, and the calls and writes of
+// all daemons to the platform.
 func reportIdle(b *testing.B, all []*daemon) {
 	b.Helper()
 	before := measureUsage(all)
 	time.Sleep(idleDuration)
 	after := measureUsage(all)
 	n := float64(len(all))
-	report := func(name string, x, y, by float64) {
-		b.ReportMetric((y-x)/idleDuration.Seconds()/by, name)
+	report := func(name string, from, to, divisor float64) {
+		b.ReportMetric((to-from)/idleDuration.Seconds()/divisor, name)
 	}
 	report("link-B/s", before.link, after.link, n)
 	report("wire-B/s", before.wire, after.wire, n)
 	report("pings/s", before.pings, after.pings, n)
-	var most float64
+	var busiest float64
 	for i := range all {
-		most = max(most, after.links[i]-before.links[i])
+		busiest = max(busiest, after.links[i]-before.links[i])
 	}
-	b.ReportMetric(most/idleDuration.Seconds(), "most-link-B/s")
+	b.ReportMetric(busiest/idleDuration.Seconds(), "most-link-B/s")
 	report("platform-B/s", before.platform, after.platform, n)
 	report("cpu-ms/s", before.cpu, after.cpu, n)
-	// Asking for the status before cost one call of each daemon.
+	// Reading the status beforehand cost each daemon one call.
 	report("calls/s", before.calls+n, after.calls, 1)
 	report("writes/s", before.writes, after.writes, 1)
 	b.ReportMetric(after.rss/n, "rss-KB")
 }
 
-// BenchmarkLead tells what a lead hears and says as its region grows: most-link-B/s
-// is the lead's.
+// BenchmarkLead reports the traffic of the leader as its region grows; most-link-B/s is the leader's.
 func BenchmarkLead(b *testing.B) {
 	for _, n := range []int{10, 20, 40, 71} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -145,28 +144,28 @@
 	}
 }
 
-// BenchmarkLoaded tells what control costs while requests pass: reports of loads,
-// and the free slots that owners tell the daemons of their site.
+// BenchmarkLoaded reports the cost of the control plane under load: load reports, and the free
+// slots that owners announce to the daemons of their site.
 func BenchmarkLoaded(b *testing.B) {
 	for _, rate := range []float64{100, 300, 900} {
 		b.Run(fmt.Sprint(rate), func(b *testing.B) {
 			all := startFleet(b, startPlatform(b), 12)
 			all[0].applySettings(12, fleetSettings(b, func() string { return startUpstream(b) }))
-			x := startTraffic(b, rate, all...)
-			x.waitProgress()
+			load := startTraffic(b, rate, all...)
+			load.waitProgress()
 			for b.Loop() {
-				handed := forwardedRequests(all)
+				forwarded := forwardedRequests(all)
 				reportIdle(b, all)
-				b.ReportMetric((forwardedRequests(all)-handed)/idleDuration.Seconds(), "handed/s")
+				b.ReportMetric((forwardedRequests(all)-forwarded)/idleDuration.Seconds(), "handed/s")
 			}
-			x.cancel()
-			x.done.Wait()
+			load.cancel()
+			load.done.Wait()
 		})
 	}
 }
 
-// BenchmarkReturn takes the platform away for longer than any lease, and tells what
-// all daemons ask of it in each of the first seconds when it is back.
+// BenchmarkReturn takes the platform down for longer than any lease and reports the highest number
+// of calls per second in the first 5 s after it is back.
 func BenchmarkReturn(b *testing.B) {
 	for _, n := range []int{10, 20, 40} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -178,14 +177,14 @@
 				time.Sleep(20 * time.Second)
 				before := platformCalls(b, address)
 				setFaults(b, address, platform.Faults{})
-				var most uint64
+				var peak uint64
 				for range 5 {
 					time.Sleep(time.Second)
 					now := platformCalls(b, address)
-					most = max(most, now-before)
+					peak = max(peak, now-before)
 					before = now
 				}
-				b.ReportMetric(float64(most), "most-calls/s")
+				b.ReportMetric(float64(peak), "most-calls/s")
 			}
 		})
 	}
@@ -193,19 +192,19 @@
 
 func platformCalls(b *testing.B, address string) uint64 {
 	b.Helper()
-	p, err := http.Get(address + "/Counts")
+	resp, err := http.Get(address + "/Counts")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer p.Body.Close()
+	defer resp.Body.Close()
 	var c platform.Counts
-	if err := json.NewDecoder(p.Body).Decode(&c); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(&c); err != nil {
 		b.Fatal(err)
 	}
 	return c.Reads + c.Writes + c.Watches
 }
 
-// forwardedRequests counts the requests that daemons handed to others.
+// forwardedRequests returns how many requests the daemons forwarded to other daemons.
 func forwardedRequests(all []*daemon) float64 {
 	var n float64
 	for _, d := range all {
@@ -214,7 +213,7 @@
 	return n
 }
 
-// BenchmarkRegions tells how the calls to the platform grow with regions.
+// BenchmarkRegions reports how the calls to the platform grow with the number of regions.
 func BenchmarkRegions(b *testing.B) {
 	names := []string{"r0", "r1", "r2", "r3", "r4", "r5", "r6"}
 	for _, n := range []int{1, 3, 5, 7} {
@@ -228,7 +227,7 @@
 	}
 }
 
-// spending is what all daemons spent; links holds the link bytes of each.
+// resourceUsage is the total usage of all daemons; links holds the link bytes of each.
 type resourceUsage struct {
 	link, wire, pings, platform, calls, writes, cpu, rss float64
 
@@ -254,7 +253,7 @@
 	return s
 }
 
-// BenchmarkInForce makes changes and times each until all daemons run it.
+// BenchmarkInForce reports the time from a change of settings until it is in force on all daemons.
 func BenchmarkInForce(b *testing.B) {
 	for _, n := range []int{5, 10, 20, 40} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -263,43 +262,42 @@
 			all[0].applySettings(n, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
 			const changes = 100
 			for b.Loop() {
-				var took []time.Duration
+				var durations []time.Duration
 				for i := range changes {
 					began := time.Now()
-					var a operator.ChangeAnswer
+					var accepted operator.ChangeAnswer
 					all[i%n].callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{
 						Edits: []resolver.Edit{{Path: "/", Key: resolver.KeySlots, Value: resolver.Value(fmt.Sprint(i%7 + 1))}},
-					}, &a)
+					}, &accepted)
 					for {
-						var f operator.InForceAnswer
-						all[i%n].callOperator(http.MethodGet, fmt.Sprintf("%s?Number=%d", operator.PathInForce, a.Number), nil, &f)
-						if f.InForce == n {
+						var status operator.InForceAnswer
+						all[i%n].callOperator(http.MethodGet, fmt.Sprintf("%s?Number=%d", operator.PathInForce, accepted.Number), nil, &status)
+						if status.InForce == n {
 							break
 						}
 						time.Sleep(2 * time.Millisecond)
 					}
-					took = append(took, time.Since(began))
+					durations = append(durations, time.Since(began))
 				}
-				reportQuantiles(b, "inforce", took)
+				reportQuantiles(b, "inforce", durations)
 			}
 		})
 	}
 }
 
-func reportQuantiles(b *testing.B, name string, took []time.Duration) {
+func reportQuantiles(b *testing.B, name string, durations []time.Duration) {
 	b.Helper()
-	slices.Sort(took)
+	slices.Sort(durations)
 	at := func(q float64) float64 {
-		return float64(took[min(int(q*float64(len(took))), len(took)-1)].Microseconds()) / 1000
+		return float64(durations[min(int(q*float64(len(durations))), len(durations)-1)].Microseconds()) / 1000
 	}
 	b.ReportMetric(at(0.5), name+"-p50-ms")
 	b.ReportMetric(at(0.99), name+"-p99-ms")
 	b.ReportMetric(at(1), name+"-max-ms")
 }
 
-// BenchmarkEntry compares requests through an entry with requests straight to
-// the stand-in upstream, in the same run and alternating, and tells what an
-// entry takes of a processor.
+// BenchmarkEntry compares requests through an entry with direct requests to the stand-in upstream,
+// alternating in the same run, and reports the requests per second and per core.
 func BenchmarkEntry(b *testing.B) {
 	address := startPlatform(b)
 	upstream := startUpstream(b, "--service-millis", "0", "--slots", "1000")
@@ -307,21 +305,21 @@
 	d.applySettings(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 1000\n", upstream))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	get := func(to string, n int) time.Duration {
-		q, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/x?Token=t%d&Bytes=600", to, n), nil)
+		req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/x?Token=t%d&Bytes=600", to, n), nil)
 		if err != nil {
 			b.Fatal(err)
 		}
-		q.Header.Set("Gullvale-Service", "keg-ledger")
+		req.Header.Set("Gullvale-Service", "keg-ledger")
 		began := time.Now()
-		p, err := client.Do(q)
+		resp, err := client.Do(req)
 		if err != nil {
 			b.Fatal(err)
 		}
-		_, _ = io.Copy(io.Discard, p.Body)
-		p.Body.Close()
+		_, _ = io.Copy(io.Discard, resp.Body)
+		resp.Body.Close()
 		return time.Since(began)
 	}
-	time.Sleep(5 * time.Second) // the ramp of the upstream
+	time.Sleep(5 * time.Second) // warm-up of the upstream
 	b.Run("latency", func(b *testing.B) {
 		var direct, entry []time.Duration
 		for n := 0; b.Loop(); n++ {
@@ -341,40 +339,38 @@
 	})
 	b.Run("lookups", func(b *testing.B) {
 		reportThroughput(b, d, func(int) {
-			p, err := client.Get("http://" + d.callers + "/Lookup?Service=keg-ledger&Block=10.1.2.3")
+			resp, err := client.Get("http://" + d.callers + "/Lookup?Service=keg-ledger&Block=10.1.2.3")
 			if err != nil {
 				b.Fatal(err)
 			}
-			_, _ = io.Copy(io.Discard, p.Body)
-			p.Body.Close()
+			_, _ = io.Copy(io.Discard, resp.Body)
+			resp.Body.Close()
 		})
 	})
 }
 
-// reportThroughput has many callers at once and tells what a daemon takes of a
-// processor.
-func reportThroughput(b *testing.B, d *daemon, ask func(n int)) {
+// reportThroughput sends requests from 32 workers and reports the rate, per second and per core.
+func reportThroughput(b *testing.B, d *daemon, sendRequest func(n int)) {
 	b.Helper()
 	const workers = 32
 	cpu, began := d.cpuTime(), time.Now()
-	var done sync.WaitGroup
+	var wg sync.WaitGroup
 	for w := range workers {
-		done.Add(1)
+		wg.Add(1)
 		go func() {
-			defer done.Done()
+			defer wg.Done()
 			for n := range b.N/workers + 1 {
-				ask(w*1000000 + n)
+				sendRequest(w*1000000 + n)
 			}
 		}()
 	}
-	done.Wait()
+	wg.Wait()
 	total := float64(workers * (b.N/workers + 1))
 	b.ReportMetric(total/(d.cpuTime()-cpu).Seconds(), "per-core-s")
 	b.ReportMetric(total/time.Since(began).Seconds(), "per-s")
 }
 
-// BenchmarkMemory tells what a connection without a request and one with a
-// request under way cost an entry.
+// BenchmarkMemory reports the memory of an entry per idle connection and per request in flight.
 func BenchmarkMemory(b *testing.B) {
 	const count = 1000
 	address := startPlatform(b)
@@ -383,7 +379,7 @@
 	d.applySettings(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 2000\n", upstream))
 	time.Sleep(5 * time.Second)
 	for b.Loop() {
-		empty := d.residentKB()
+		baseline := d.residentKB()
 		var idle []net.Conn
 		for range count {
 			c, err := net.Dial("tcp", d.callers)
@@ -393,27 +389,27 @@
 			idle = append(idle, c)
 		}
 		time.Sleep(time.Second)
-		b.ReportMetric((d.residentKB()-empty)/count, "idle-KB")
-		empty = d.residentKB()
+		b.ReportMetric((d.residentKB()-baseline)/count, "idle-KB")
+		baseline = d.residentKB()
 		ctx, cancel := context.WithCancel(context.Background())
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: count}}
 		var bodies []io.Closer
 		for n := range count {
-			q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/x?Token=t%d&Bytes=100000", d.callers, n), nil)
+			req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/x?Token=t%d&Bytes=100000", d.callers, n), nil)
 			if err != nil {
 				b.Fatal(err)
 			}
-			q.Header.Set("Gullvale-Service", "keg-ledger")
-			p, err := client.Do(q)
+			req.Header.Set("Gullvale-Service", "keg-ledger")
+			resp, err := client.Do(req)
 			if err != nil {
 				b.Fatal(err)
 			}
-			bodies = append(bodies, p.Body)
+			bodies = append(bodies, resp.Body)
 		}
-		b.ReportMetric((d.residentKB()-empty)/count, "active-KB")
+		b.ReportMetric((d.residentKB()-baseline)/count, "active-KB")
 		cancel()
-		for _, x := range bodies {
-			x.Close()
+		for _, body := range bodies {
+			body.Close()
 		}
 		for _, c := range idle {
 			c.Close()
@@ -421,28 +417,28 @@
 	}
 }
 
-// BenchmarkStart times a daemon from its start to its first answer.
+// BenchmarkStart reports the time from the start of a daemon to its first successful response.
 func BenchmarkStart(b *testing.B) {
 	address := startPlatform(b)
 	upstream := startUpstream(b)
 	first := startDaemon(b, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 	first.applySettings(1, fmt.Sprintf(oneSiteSettings, upstream))
-	var took []time.Duration
+	var durations []time.Duration
 	for n := 0; b.Loop(); n++ {
 		began := time.Now()
 		d := startDaemon(b, daemonOptions{name: fmt.Sprintf("erie-x%d", n), region: "erie", domain: "a", platform: address, seeds: []string{first.links}})
 		for {
-			p, err := d.send(context.Background(), http.MethodGet, "keg-ledger", "/x?Token=t", nil)
+			resp, err := d.send(context.Background(), http.MethodGet, "keg-ledger", "/x?Token=t", nil)
 			if err == nil {
-				p.Body.Close()
-				if p.StatusCode == http.StatusOK {
+				resp.Body.Close()
+				if resp.StatusCode == http.StatusOK {
 					break
 				}
 			}
 			time.Sleep(time.Millisecond)
 		}
-		took = append(took, time.Since(began))
+		durations = append(durations, time.Since(began))
 		d.kill()
 	}
-	reportQuantiles(b, "first-answer", took)
+	reportQuantiles(b, "first-answer", durations)
 }
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -15,17 +15,17 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// TestEntryShedsExportsFirst fills an entry that may have eight requests at once:
-// exports are refused from the fifth on, short requests from the ninth.
+// TestEntryShedsExportsFirst fills an entry with a limit of eight requests in flight: exports are
+// refused from the fifth on, short requests from the ninth.
 func TestEntryShedsExportsFirst(t *testing.T) {
 	is := is.New(t)
-	leave := make(chan struct{})
-	h := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	release := make(chan struct{})
+	handler := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/x" {
-			<-leave
+			<-release
 		}
 	})
-	ledger, depot := httptest.NewServer(h), httptest.NewServer(h)
+	ledger, depot := httptest.NewServer(handler), httptest.NewServer(handler)
 	defer ledger.Close()
 	defer depot.Close()
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: startPlatform(t),
@@ -33,45 +33,45 @@
 	d.applySettings(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 20\n"+
 		"[Region.erie.Domain.a.Service.manifest-depot]\nUpstreams = [%q]\nSlots = 20\nClass = \"export\"\n", ledger.Listener.Addr(), depot.Listener.Addr()))
 	eventually(t, "all slots are owned", func() bool { return totalSlots(d) == 40 })
-	ended := make(chan string, 20)
-	begin := func(service string) {
-		p, err := d.send(context.Background(), http.MethodGet, service, "/x", nil)
+	outcomes := make(chan string, 20)
+	sendOne := func(service string) {
+		resp, err := d.send(context.Background(), http.MethodGet, service, "/x", nil)
 		if err != nil {
-			ended <- err.Error()
+			outcomes <- err.Error()
 			return
 		}
-		p.Body.Close()
-		ended <- p.Header.Get("Gullvale-Outcome")
+		resp.Body.Close()
+		outcomes <- resp.Header.Get("Gullvale-Outcome")
 	}
 	fill := func(service string, upTo int) {
 		for range 4 {
-			go begin(service)
+			go sendOne(service)
 		}
-		eventually(t, fmt.Sprint(upTo, " requests here"), func() bool { return d.metric("in_flight") == float64(upTo) })
+		eventually(t, fmt.Sprint(upTo, " requests in flight"), func() bool { return d.metric("in_flight") == float64(upTo) })
 	}
-	refused := func(service string) {
-		p, err := d.send(context.Background(), http.MethodGet, service, "/x", nil)
+	expectRefused := func(service string) {
+		resp, err := d.send(context.Background(), http.MethodGet, service, "/x", nil)
 		is.NoErr(err)
-		p.Body.Close()
-		is.Equal(p.StatusCode, http.StatusServiceUnavailable)
-		is.Equal(p.Header.Get("Gullvale-Outcome"), "not-run")
-		is.Equal(p.Header.Get("Gullvale-Reason"), "too many requests at the entry")
-		is.True(p.Header.Get("Retry-After") != "")
+		resp.Body.Close()
+		is.Equal(resp.StatusCode, http.StatusServiceUnavailable)
+		is.Equal(resp.Header.Get("Gullvale-Outcome"), "not-run")
+		is.Equal(resp.Header.Get("Gullvale-Reason"), "too many requests at the entry")
+		is.True(resp.Header.Get("Retry-After") != "")
 	}
 	fill("manifest-depot", 4)
-	refused("manifest-depot")
+	expectRefused("manifest-depot")
 	fill("keg-ledger", 8)
-	refused("keg-ledger")
-	refused("manifest-depot")
-	close(leave)
+	expectRefused("keg-ledger")
+	expectRefused("manifest-depot")
+	close(release)
 	for range 8 {
-		is.Equal(<-ended, "answered")
+		is.Equal(<-outcomes, "answered")
 	}
 }
 
-// BenchmarkOverload offers more than the upstreams can do, to requests that have
-// half a second: goodput is what is answered, as a part of what 12 slots of 50 ms
-// can do; unknown is what was given up while it ran.
+// BenchmarkOverload offers up to ten times the capacity of the upstreams, with a deadline of half a
+// second: goodput is the answered rate as a fraction of what 12 slots of 50 ms can serve, unknown
+// the number of requests abandoned while they ran.
 func BenchmarkOverload(b *testing.B) {
 	const capacity = 12 / 0.05
 	for _, load := range []float64{0.8, 1, 1.5, 3, 10} {
@@ -90,17 +90,17 @@
 	}
 }
 
-// offerLoad drives requests for a while and reports what became of them.
+// offerLoad sends requests at the given rate for 10 s and reports their outcomes.
 func offerLoad(b *testing.B, rate float64, daemons []*daemon, capacity float64) {
 	b.Helper()
-	const length = 10 * time.Second
+	const duration = 10 * time.Second
 	var seeds []string
 	for _, d := range daemons {
 		seeds = append(seeds, d.callers)
 	}
 	f := &finder.Finder{Seeds: seeds, HTTP: caller.NewClient(nil)}
 	var load caller.Load
-	ctx, cancel := context.WithTimeout(context.Background(), length)
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	load.Run(ctx, caller.Stream{
 		Class: "short", Service: "keg-ledger", Rate: rate, PostPart: 0.5, Bytes: 500,
@@ -113,7 +113,7 @@
 	}
 	for _, a := range load.Accounts() {
 		b.Logf("%v", a.Reasons)
-		b.ReportMetric(float64(a.Answered)/length.Seconds()/capacity, "goodput")
+		b.ReportMetric(float64(a.Answered)/duration.Seconds()/capacity, "goodput")
 		b.ReportMetric(float64(a.Unknown), "unknown")
 		b.ReportMetric(float64(a.NotRun), "not-run")
 		b.ReportMetric(float64(a.Latency.ValueAtQuantile(50))/1000, "p50-ms")
--- a/test/owner_test.go
+++ b/test/owner_test.go
@@ -12,14 +12,14 @@
 	"github.com/gullvale/gullvale/pkg/lister"
 )
 
-// probeCount returns how many probes a daemon has made.
+// probeCount returns the number of probes that a daemon has sent.
 func probeCount(d *daemon) int {
 	d.t.Helper()
 	return int(d.metric("probes"))
 }
 
-// TestProbesDoNotGrowWithDaemons has six daemons and one upstream. One daemon
-// probes it and keeps connections to it, and no other does.
+// TestProbesDoNotGrowWithDaemons checks that only one of six daemons probes an upstream and keeps
+// connections to it.
 func TestProbesDoNotGrowWithDaemons(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
@@ -31,9 +31,9 @@
 	eventually(t, "six members", func() bool { return all[0].status().Members == 6 })
 	all[0].applySettings(6, fmt.Sprintf(oneSiteSettings, upstream)+"ProbeIntervalMillis = 100\n")
 	eventually(t, "one owner", func() bool { return totalSlots(all...) == 6 })
-	x := startTraffic(t, 200, all...)
-	x.waitProgress()
-	eventually(t, "it is probed", func() bool { return upstreamCounts(t, upstream).Probes >= 20 })
+	load := startTraffic(t, 200, all...)
+	load.waitProgress()
+	eventually(t, "the upstream is probed", func() bool { return upstreamCounts(t, upstream).Probes >= 20 })
 	owners := 0
 	for _, d := range all {
 		if probeCount(d) > 0 {
@@ -41,49 +41,48 @@
 		}
 	}
 	is.Equal(owners, 1)
-	x.stopAndVerify(upstream)
+	load.stopAndVerify(upstream)
 	c := upstreamCounts(t, upstream)
-	is.True(c.Conns <= 12) // slots, a probe's, this test's own, and no multiple of daemons
+	is.True(c.Conns <= 12) // slots, a probe and this test, and no multiple of the daemons
 	is.Equal(c.Shed, int64(0))
 }
 
-// TestListedVMGetsNothingNew has the platform's list call the VM of an upstream
-// leaving, which the upstream itself does not say.
+// TestListedVMGetsNothingNew marks the VM of an upstream as leaving in the platform's list only;
+// the upstream itself does not announce it.
 func TestListedVMGetsNothingNew(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	upstream := startUpstream(t)
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 	d.applySettings(1, fmt.Sprintf(oneSiteSettings, upstream))
-	eventually(t, "it is owned", func() bool { return d.ownedSlots() == 6 })
+	eventually(t, "the upstream is owned", func() bool { return d.ownedSlots() == 6 })
 	body, err := json.Marshal(lister.List{VMs: []lister.VM{{Address: "127.0.0.1", Leaving: true}}})
 	is.NoErr(err)
-	q, err := http.NewRequest(http.MethodPut, address+"/Objects/VMs%2FList", bytes.NewReader(body))
+	req, err := http.NewRequest(http.MethodPut, address+"/Objects/VMs%2FList", bytes.NewReader(body))
 	is.NoErr(err)
-	q.Header.Set("If-None-Match", "*")
-	p, err := http.DefaultClient.Do(q)
+	req.Header.Set("If-None-Match", "*")
+	resp, err := http.DefaultClient.Do(req)
 	is.NoErr(err)
-	p.Body.Close()
-	is.Equal(p.StatusCode, http.StatusOK)
-	eventually(t, "it has no slots any more", func() bool { return d.ownedSlots() == 0 })
+	resp.Body.Close()
+	is.Equal(resp.StatusCode, http.StatusOK)
+	eventually(t, "no slots of the upstream are owned", func() bool { return d.ownedSlots() == 0 })
 }
 
-// TestDrainingUpstreamGetsNothingNew has an upstream say by itself that it leaves,
-// under load.
+// TestDrainingUpstreamGetsNothingNew has an upstream announce under load that it is draining.
 func TestDrainingUpstreamGetsNothingNew(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	text, upstreams := startTwoUpstreams(t)
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 	d.applySettings(1, text)
-	eventually(t, "both are owned", func() bool { return d.ownedSlots() == 12 })
-	x := startTraffic(t, 100, d)
-	x.waitProgress()
-	p, err := http.Post("http://"+upstreams[0]+"/Drain", "", nil)
+	eventually(t, "both upstreams are owned", func() bool { return d.ownedSlots() == 12 })
+	load := startTraffic(t, 100, d)
+	load.waitProgress()
+	resp, err := http.Post("http://"+upstreams[0]+"/Drain", "", nil)
 	is.NoErr(err)
-	p.Body.Close()
-	eventually(t, "it has no slots any more", func() bool { return d.ownedSlots() == 6 })
-	x.waitProgress()
-	x.stopAndVerify(upstreams...)
-	is.Equal(upstreamCounts(t, upstreams[0]).Late, int64(0)) // nothing new later than 2 s after
+	resp.Body.Close()
+	eventually(t, "no slots of the upstream are owned", func() bool { return d.ownedSlots() == 6 })
+	load.waitProgress()
+	load.stopAndVerify(upstreams...)
+	is.Equal(upstreamCounts(t, upstreams[0]).Late, int64(0)) // no new request more than 2 s after the drain began
 }
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -22,8 +22,8 @@
 
 const oneSiteSettings = "[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 6\n"
 
-// TestWholePath takes a look-up and a forwarded request through a daemon under
-// settings that it read from the platform.
+// TestWholePath sends a lookup and a forwarded request through a daemon whose settings come from
+// the platform.
 func TestWholePath(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
@@ -31,33 +31,33 @@
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 	d.applySettings(1, fmt.Sprintf(oneSiteSettings, upstream))
 
-	p, err := http.Get("http://" + d.callers + "/Lookup?Service=keg-ledger&Block=10.1.2.0/24")
+	lookup, err := http.Get("http://" + d.callers + "/Lookup?Service=keg-ledger&Block=10.1.2.0/24")
 	is.NoErr(err)
-	defer p.Body.Close()
-	var a steerer.Answer
-	is.NoErr(json.NewDecoder(p.Body).Decode(&a))
-	is.Equal(a.Entries[0].Address, d.callers)
-	is.Equal(string(a.Site), "erie/a")
-	is.True(a.LifetimeMillis > 0)
+	defer lookup.Body.Close()
+	var answer steerer.Answer
+	is.NoErr(json.NewDecoder(lookup.Body).Decode(&answer))
+	is.Equal(answer.Entries[0].Address, d.callers)
+	is.Equal(string(answer.Site), "erie/a")
+	is.True(answer.LifetimeMillis > 0)
 
 	body := "one keg back"
-	var q *http.Response
+	var resp *http.Response
 	eventually(t, "the upstream is owned", func() bool {
-		q, err = d.send(context.Background(), http.MethodPost, "keg-ledger", "/returns?Token=t1&Bytes=2000", strings.NewReader(body))
+		resp, err = d.send(context.Background(), http.MethodPost, "keg-ledger", "/returns?Token=t1&Bytes=2000", strings.NewReader(body))
 		is.NoErr(err)
-		return q.Header.Get("Gullvale-Outcome") != "not-run"
+		return resp.Header.Get("Gullvale-Outcome") != "not-run"
 	})
-	defer q.Body.Close()
-	is.Equal(q.StatusCode, http.StatusOK)
-	is.Equal(q.Header.Get("Gullvale-Outcome"), "answered")
-	is.Equal(q.Header.Get("Gullvale-Upstream"), upstream)
-	is.Equal(q.Header.Get("Gullvale-Entry"), "erie-1")
-	_, err = payload.Verify(q.Body, payload.New("t1", []byte(body), 2000))
+	defer resp.Body.Close()
+	is.Equal(resp.StatusCode, http.StatusOK)
+	is.Equal(resp.Header.Get("Gullvale-Outcome"), "answered")
+	is.Equal(resp.Header.Get("Gullvale-Upstream"), upstream)
+	is.Equal(resp.Header.Get("Gullvale-Entry"), "erie-1")
+	_, err = payload.Verify(resp.Body, payload.New("t1", []byte(body), 2000))
 	is.NoErr(err)
 	is.Equal(upstreamCounts(t, upstream).Journal["t1"], 1)
 }
 
-// TestLookupSaysWhatIsWrong asks for what is not there.
+// TestLookupSaysWhatIsWrong checks the errors of invalid lookups.
 func TestLookupSaysWhatIsWrong(t *testing.T) {
 	address := startPlatform(t)
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
@@ -72,19 +72,18 @@
 	} {
 		t.Run(c.query, func(t *testing.T) {
 			is := is.New(t)
-			p, err := http.Get("http://" + d.callers + "/Lookup?" + c.query)
+			resp, err := http.Get("http://" + d.callers + "/Lookup?" + c.query)
 			is.NoErr(err)
-			defer p.Body.Close()
-			b, err := io.ReadAll(p.Body)
+			defer resp.Body.Close()
+			b, err := io.ReadAll(resp.Body)
 			is.NoErr(err)
-			is.Equal(p.StatusCode, c.status)
+			is.Equal(resp.StatusCode, c.status)
 			is.True(strings.Contains(string(b), c.text))
 		})
 	}
 }
 
-// TestStopKeepsLongExport stops both the entry of a long export and, in the
-// other case, the owner of its upstream.
+// TestStopKeepsLongExport stops the entry or the owner during a long export, which must complete.
 func TestStopKeepsLongExport(t *testing.T) {
 	const length = 3 << 20
 	for _, c := range []struct {
@@ -102,20 +101,20 @@
 			d2 := startDaemon(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
 			d1.applySettings(2, fmt.Sprintf(oneSiteSettings, upstream))
 			owner, entry := waitOwner(t, d1, d2)
-			var q *http.Response
+			var resp *http.Response
 			eventually(t, "the entry knows the owner", func() bool {
 				var err error
-				q, err = entry.send(context.Background(), http.MethodGet, "keg-ledger", fmt.Sprintf("/export?Token=x&Bytes=%d", length), nil)
+				resp, err = entry.send(context.Background(), http.MethodGet, "keg-ledger", fmt.Sprintf("/export?Token=x&Bytes=%d", length), nil)
 				is.NoErr(err)
-				return q.StatusCode == http.StatusOK
+				return resp.StatusCode == http.StatusOK
 			})
-			defer q.Body.Close()
+			defer resp.Body.Close()
 			first := make([]byte, 1000)
-			_, err := io.ReadFull(q.Body, first)
+			_, err := io.ReadFull(resp.Body, first)
 			is.NoErr(err)
 			stopped := c.stop(entry, owner)
 			stopped.signal(syscall.SIGTERM)
-			whole := io.MultiReader(strings.NewReader(string(first)), q.Body)
+			whole := io.MultiReader(strings.NewReader(string(first)), resp.Body)
 			n, err := payload.Verify(whole, payload.New("x", nil, length))
 			is.NoErr(err)
 			is.Equal(n, int64(length))
@@ -124,81 +123,81 @@
 	}
 }
 
-// waitOwner returns the daemon that owns the one upstream, and another.
-func waitOwner(t *testing.T, a, b *daemon) (owner, other *daemon) {
+// waitOwner waits until one of two daemons owns the upstream and returns it first.
+func waitOwner(t *testing.T, a, b *daemon) (owner, entry *daemon) {
 	t.Helper()
 	eventually(t, "a daemon owns the upstream", func() bool {
 		switch {
 		case a.ownedSlots() > 0:
-			owner, other = a, b
+			owner, entry = a, b
 		case b.ownedSlots() > 0:
-			owner, other = b, a
+			owner, entry = b, a
 		}
 		return owner != nil
 	})
-	return owner, other
+	return owner, entry
 }
 
-// TestOperatorsRace lets two operators change settings through two daemons from
-// the same base: of the same setting one wins and the other learns who; changes
-// of different settings both count.
+// TestOperatorsRace changes settings concurrently through two daemons from the same base. For the
+// same setting one change wins and the other response names the winner; changes of different
+// settings both succeed.
 func TestOperatorsRace(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	d1 := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 	d2 := startDaemon(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
 	d1.applySettings(2, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
-	race := func(keys [2]resolver.Key, values [2]resolver.Value) (codes [2]int, losers [2]operator.ErrorAnswer) {
-		var done sync.WaitGroup
+	changeBoth := func(keys [2]resolver.Key, values [2]resolver.Value) (codes [2]int, failures [2]operator.ErrorAnswer) {
+		var wg sync.WaitGroup
 		for i, d := range []*daemon{d1, d2} {
-			var now operator.SettingsAnswer
-			is.Equal(d1.callOperator(http.MethodGet, operator.PathSettings, nil, &now), http.StatusOK)
-			done.Add(1)
+			var current operator.SettingsAnswer
+			is.Equal(d1.callOperator(http.MethodGet, operator.PathSettings, nil, &current), http.StatusOK)
+			wg.Add(1)
 			go func() {
-				defer done.Done()
+				defer wg.Done()
 				codes[i] = d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{
-					Base:  now.Number,
+					Base:  current.Number,
 					Edits: []resolver.Edit{{Path: "erie:keg-ledger", Key: keys[i], Value: values[i]}},
-				}, &losers[i])
+				}, &failures[i])
 			}()
 		}
-		done.Wait()
-		return codes, losers
+		wg.Wait()
+		return codes, failures
 	}
-	codes, losers := race([2]resolver.Key{resolver.KeySlots, resolver.KeySlots}, [2]resolver.Value{"5", "7"})
+	codes, failures := changeBoth([2]resolver.Key{resolver.KeySlots, resolver.KeySlots}, [2]resolver.Value{"5", "7"})
 	is.Equal(codes[0]+codes[1], http.StatusOK+http.StatusConflict)
 	for i, c := range codes {
 		if c == http.StatusConflict {
-			is.Equal(losers[i].Theirs.Who, "anna")
-			is.True(losers[i].Theirs.AtMillis > 0)
-			is.True(strings.Contains(string(losers[i].Theirs.Body), string(resolver.KeySlots)))
+			is.Equal(failures[i].Theirs.Who, "anna")
+			is.True(failures[i].Theirs.AtMillis > 0)
+			is.True(strings.Contains(string(failures[i].Theirs.Body), string(resolver.KeySlots)))
 		}
 	}
-	codes, _ = race([2]resolver.Key{resolver.KeyLimit, resolver.KeyQueueLength}, [2]resolver.Value{"70%", "9"})
+	codes, _ = changeBoth([2]resolver.Key{resolver.KeyLimit, resolver.KeyQueueLength}, [2]resolver.Value{"70%", "9"})
 	is.Equal(codes, [2]int{http.StatusOK, http.StatusOK})
 }
 
-// TestLostAnswerEndsInTruth loses the answer of the platform to a change that
-// took effect. The change is accepted once.
+// TestLostAnswerEndsInTruth drops the platform's response to a write that took effect. The change
+// is accepted exactly once.
 func TestLostAnswerEndsInTruth(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 	d.applySettings(1, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
 	setFaults(t, address, platform.Faults{LoseAnswers: 3, LosePrefix: "Settings/"})
-	var a operator.ChangeAnswer
+	var accepted operator.ChangeAnswer
 	edits := []resolver.Edit{{Path: "erie", Key: resolver.KeyLimit, Value: "60%"}}
-	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{ID: "mine", Edits: edits}, &a), http.StatusOK)
-	is.Equal(int(a.Number), 2)
+	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{ID: "mine", Edits: edits}, &accepted), http.StatusOK)
+	is.Equal(int(accepted.Number), 2)
 	var again operator.ChangeAnswer
 	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{ID: "mine", Edits: edits}, &again), http.StatusOK)
-	is.Equal(again.Number, a.Number)
-	var l operator.LogAnswer
-	is.Equal(d.callOperator(http.MethodGet, operator.PathLog, nil, &l), http.StatusOK)
-	is.Equal(len(l.Changes), 2)
+	is.Equal(again.Number, accepted.Number)
+	var log operator.LogAnswer
+	is.Equal(d.callOperator(http.MethodGet, operator.PathLog, nil, &log), http.StatusOK)
+	is.Equal(len(log.Changes), 2)
 }
 
-// TestBadSettingsStartNothing gives a daemon a settings file with three faults.
+// TestBadSettingsStartNothing starts a daemon with an invalid settings file, whose problems must all be listed.
 func TestBadSettingsStartNothing(t *testing.T) {
 	is := is.New(t)
 	file := t.TempDir() + "/bad.toml"
--- a/test/race_test.go
+++ b/test/race_test.go
@@ -2,5 +2,5 @@
 
 package integration_test
 
-// buildFlags has the processes look for data races when the tests do.
+// buildFlags enables the race detector in the binaries when it is enabled in the tests.
 var buildFlags = []string{"-race"}
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -18,13 +18,13 @@
 	"github.com/gullvale/gullvale/internal/version/resolver"
 )
 
-// The randomised run is short and on a fixed seed unless asked otherwise.
+// The defaults keep the randomised run short and its seed fixed.
 var (
 	randomSeed  = flag.Uint64("random.seed", 20261202, "seed of TestRandomFaults")
 	randomSteps = flag.Int("random.steps", 8, "faults of TestRandomFaults")
 )
 
-// chaos is a fleet and the faults that it is under.
+// faultRun is a fleet and the faults injected into it.
 type faultRun struct {
 	t           *testing.T
 	random      *rand.Rand
@@ -34,16 +34,15 @@
 	paused      map[int]bool
 	blocked     map[int]bool
 	lastNumbers map[string]float64
-	// fenceHolders is which process showed a fence of a lease.
+	// fenceHolders maps a lease and its fence to the incarnation that held it.
 	fenceHolders map[string]string
 	history      []string
 }
 
-// TestRandomFaults breaks and heals a fleet at random under load: pauses, kills,
-// replacements, cut, silent and slow links, a platform that is down, slow or
-// loses answers, changes of settings in between. In the end the fleet must come
-// together, no number may have gone down in any process, and callers' accounts
-// must agree with the upstreams' journals.
+// TestRandomFaults injects and heals random faults under load: suspended, killed and replaced
+// daemons, links that drop data, and a platform that is down, slow or loses responses, with changes
+// of settings in between. In the end the fleet must converge, no number may have decreased in any
+// process, and the callers' accounts must agree with the upstreams' journals.
 func TestRandomFaults(t *testing.T) {
 	is := is.New(t)
 	c := &faultRun{
@@ -59,21 +58,21 @@
 	}
 	c.daemons[0].applySettings(4, text)
 	eventually(t, "all slots are owned", func() bool { return totalSlots(c.daemons...) == 12 })
-	x := startTraffic(t, 60, c.daemons...)
-	x.waitProgress()
+	load := startTraffic(t, 60, c.daemons...)
+	load.waitProgress()
 	for range *randomSteps {
 		c.injectFault()
-		// Faults last for a while; nothing is awaited here.
+		// Lets the fault last; waits for no condition.
 		time.Sleep(time.Duration(500+c.random.IntN(2500)) * time.Millisecond)
 		c.check()
 	}
 	c.healAll()
 	t.Logf("seed %d: %s", *randomSeed, strings.Join(c.history, ", "))
-	eventually(t, "the fleet comes together", func() bool { return c.converged() })
+	eventually(t, "the fleet converges", func() bool { return c.converged() })
 	c.daemons[0].setAndWait(4, "77")
 	c.check()
-	x.waitProgress()
-	x.stopAndVerify(upstreams...)
+	load.waitProgress()
+	load.stopAndVerify(upstreams...)
 	for _, d := range c.daemons {
 		is.True(!strings.Contains(d.logText(), "panic:"))
 	}
@@ -83,12 +82,12 @@
 	return daemonOptions{name: fmt.Sprint("erie-", i), region: "erie", domain: "a", platform: c.platform}
 }
 
-// injectFault lets one thing go wrong, or right again.
+// injectFault injects one random fault or heals all.
 func (c *faultRun) injectFault() {
 	i := c.random.IntN(len(c.daemons))
-	what := c.random.IntN(9)
-	c.history = append(c.history, fmt.Sprintf("%d on %d", what, i))
-	switch what {
+	kind := c.random.IntN(9)
+	c.history = append(c.history, fmt.Sprintf("%d on %d", kind, i))
+	switch kind {
 	case 0, 1:
 		c.togglePause(i)
 	case 2:
@@ -108,7 +107,7 @@
 	}
 }
 
-// blockLinks makes the links to a daemon silent in one direction.
+// blockLinks drops data to or from a daemon's links in one direction.
 func (c *faultRun) blockLinks(i int, toxic string) {
 	if !c.blocked[i] {
 		c.proxies[i].addToxic(toxic)
@@ -141,8 +140,7 @@
 	c.daemons[i] = startDaemon(c.t, o)
 }
 
-// changeSettings asks for a change of settings. It may fail for any reason but a wrong
-// one.
+// changeSettings requests a change of settings. Only a 4xx response fails the test.
 func (c *faultRun) changeSettings(i int) {
 	if c.paused[i] {
 		return
@@ -152,11 +150,11 @@
 		Edits: []resolver.Edit{{Path: "/", Key: resolver.KeyQueueLength, Value: resolver.Value(fmt.Sprint(60 + c.random.IntN(1000)))}},
 	}, &e)
 	if code != http.StatusOK && code < http.StatusInternalServerError {
-		c.t.Fatalf("change: %d %+v", code, e)
+		c.t.Fatalf("change rejected: status %d, %+v", code, e)
 	}
 }
 
-// healAll ends all faults.
+// healAll removes all faults.
 func (c *faultRun) healAll() {
 	setFaults(c.t, c.platform, platform.Faults{})
 	for i, p := range c.proxies {
@@ -165,7 +163,7 @@
 		}
 		if c.blocked[i] {
 			p.removeToxics()
-			// A proxy keeps what it swallowed from what comes behind it.
+			// Restarting the proxy discards the data it holds back, which would precede new data.
 			if err := p.Update(&toxiproxy.Proxy{Listen: p.Listen, Upstream: c.daemons[i].linksBound, Enabled: false}); err != nil {
 				c.t.Fatal(err)
 			}
@@ -177,7 +175,7 @@
 	}
 }
 
-// check asserts what must hold in every process at any time.
+// check asserts the invariants that hold in every process at any time.
 func (c *faultRun) check() {
 	for i, d := range c.daemons {
 		if c.paused[i] {
@@ -199,15 +197,14 @@
 		return
 	}
 	k := fmt.Sprint(lease, " ", fence)
-	who := incarnationOf(c.t, d)
-	if before, ok := c.fenceHolders[k]; ok && before != who {
-		c.t.Fatalf("%s held by %s and %s; seed %d: %v", k, before, who, *randomSeed, c.history)
+	incarnation := incarnationOf(c.t, d)
+	if before, ok := c.fenceHolders[k]; ok && before != incarnation {
+		c.t.Fatalf("%s held by %s and %s; seed %d: %v", k, before, incarnation, *randomSeed, c.history)
 	}
-	c.fenceHolders[k] = who
+	c.fenceHolders[k] = incarnation
 }
 
-// checkMonotonic asserts that no number in force went down in a process. A new
-// process begins anew.
+// checkMonotonic asserts that no number in force decreases within a process.
 func (c *faultRun) checkMonotonic(d *daemon, st operator.Status) {
 	for name, n := range map[string]float64{"settings": float64(st.Settings), "plan": float64(st.Plan)} {
 		k := incarnationOf(c.t, d) + name
@@ -218,21 +215,20 @@
 	}
 }
 
-// converged tells whether all daemons are valid members under one lead and own all
-// slots.
+// converged reports whether all daemons are valid members with one leader and own all slots.
 func (c *faultRun) converged() bool {
-	leads, slots := 0, 0
+	leaders, slots := 0, 0
 	for _, d := range c.daemons {
 		st := d.status()
 		if !st.Valid || !st.Platform || st.Members != len(c.daemons) || st.InForce != len(c.daemons) {
 			return false
 		}
 		if st.Lead {
-			leads++
+			leaders++
 		}
 		for _, o := range st.Owned {
 			slots += o.Slots
 		}
 	}
-	return leads == 1 && slots == 12
+	return leaders == 1 && slots == 12
 }
--- a/test/rolling_test.go
+++ b/test/rolling_test.go
@@ -12,9 +12,9 @@
 	"github.com/gullvale/gullvale/internal/standin/payload"
 )
 
-// TestRollingReplacement replaces every daemon of a fleet in turn under load, with
-// exports in flight through each of them. No request is cut, refused or left with
-// an unknown outcome, and every daemon exits 0.
+// TestRollingReplacement replaces every daemon of a fleet in turn under load, with exports in
+// flight through each. No request may be truncated, refused or left with an unknown outcome, and
+// every daemon must exit with 0.
 func TestRollingReplacement(t *testing.T) {
 	const length = 4 << 20
 	is := is.New(t)
@@ -25,39 +25,39 @@
 	all := startThreeDaemons(t, address)
 	all[0].applySettings(3, text)
 	eventually(t, "all slots are owned", func() bool { return totalSlots(all...) == 32 })
-	x := startTraffic(t, 100, all...)
-	x.waitProgress()
+	load := startTraffic(t, 100, all...)
+	load.waitProgress()
 	exports := make(chan error, len(all))
 	for i, d := range all {
-		var p *http.Response
+		var resp *http.Response
 		eventually(t, "the export begins", func() bool {
 			var err error
-			p, err = d.send(context.Background(), http.MethodGet, "manifest-depot", fmt.Sprintf("/x?Token=export%d&Bytes=%d", i, length), nil)
+			resp, err = d.send(context.Background(), http.MethodGet, "manifest-depot", fmt.Sprintf("/x?Token=export%d&Bytes=%d", i, length), nil)
 			is.NoErr(err)
-			return p.StatusCode == http.StatusOK
+			return resp.StatusCode == http.StatusOK
 		})
 		go func() {
-			defer p.Body.Close()
-			_, err := payload.Verify(p.Body, payload.New(fmt.Sprint("export", i), nil, length))
+			defer resp.Body.Close()
+			_, err := payload.Verify(resp.Body, payload.New(fmt.Sprint("export", i), nil, length))
 			exports <- err
 		}()
 	}
 	fleet := append([]*daemon(nil), all...)
 	for i, old := range all {
-		fresh := startDaemon(t, daemonOptions{name: fmt.Sprint("erie-new-", i), region: "erie", domain: "a", platform: address})
-		eventually(t, "the new daemon is a member", func() bool { return fresh.status().Valid })
+		replacement := startDaemon(t, daemonOptions{name: fmt.Sprint("erie-new-", i), region: "erie", domain: "a", platform: address})
+		eventually(t, "the new daemon is a member", func() bool { return replacement.status().Valid })
 		old.signal(syscall.SIGTERM)
 		is.Equal(old.waitExit(), 0)
-		fleet[i] = fresh
-		x.waitProgress()
+		fleet[i] = replacement
+		load.waitProgress()
 	}
 	for range all {
 		is.NoErr(<-exports)
 	}
 	eventually(t, "all slots are owned", func() bool { return totalSlots(fleet...) == 32 })
-	a := x.stopAndVerify(upstreams...)
-	is.Equal(a.Unknown, uint64(0))
-	is.Equal(a.NotRun, uint64(0))
+	account := load.stopAndVerify(upstreams...)
+	is.Equal(account.Unknown, uint64(0))
+	is.Equal(account.NotRun, uint64(0))
 	for _, u := range upstreams {
 		is.Equal(upstreamCounts(t, u).Shed, int64(0))
 	}
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -10,45 +10,45 @@
 	"github.com/gullvale/gullvale/internal/standin/signer"
 )
 
-// TestEncryptedLinks runs a fleet whose links are under TLS, changes its keys and
-// authority under load, and has a daemon of another authority try to join.
+// TestEncryptedLinks runs a fleet with TLS on its links, rotates keys and authority under load, and
+// starts a daemon whose certificate no member trusts.
 func TestEncryptedLinks(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	text, upstreams := startTwoUpstreams(t)
-	ours, next := signer.New(), signer.New()
-	later := time.Now().Add(time.Hour)
+	oldCA, newCA := signer.New(), signer.New()
+	expiry := time.Now().Add(time.Hour)
 	var dirs []string
 	var all []*daemon
-	options := func(i int, by *signer.Authority, trust ...*signer.Authority) daemonOptions {
+	options := func(i int, issuer *signer.Authority, trust ...*signer.Authority) daemonOptions {
 		dirs = append(dirs, t.TempDir())
-		f := by.Files(dirs[i], later, trust...)
+		f := issuer.Files(dirs[i], expiry, trust...)
 		return daemonOptions{name: fmt.Sprint("erie-", i), region: "erie", domain: "a", platform: address,
 			extraSettings: fmt.Sprintf("LinkTLS.Certificate = %q\nLinkTLS.Key = %q\nLinkTLS.Authority = %q\n", f.Certificate, f.Key, f.Authority)}
 	}
 	for i := range 3 {
-		all = append(all, startDaemon(t, options(i, ours, ours)))
+		all = append(all, startDaemon(t, options(i, oldCA, oldCA)))
 	}
 	all[0].applySettings(3, text)
 	eventually(t, "all slots are owned", func() bool { return totalSlots(all...) == 12 })
-	x := startTraffic(t, 60, all...)
-	x.waitProgress()
-	stranger := startDaemon(t, options(3, next, ours, next))
+	load := startTraffic(t, 60, all...)
+	load.waitProgress()
+	newcomer := startDaemon(t, options(3, newCA, oldCA, newCA))
 	for i := range all {
-		ours.Files(dirs[i], later, ours, next)
+		oldCA.Files(dirs[i], expiry, oldCA, newCA)
 	}
-	eventually(t, "both authorities are trusted, and the fourth is in", func() bool {
-		return stranger.status().Valid && stranger.status().Members == 4
+	eventually(t, "both authorities are trusted and the fourth daemon is a member", func() bool {
+		return newcomer.status().Valid && newcomer.status().Members == 4
 	})
 	for i := range all {
-		next.Files(dirs[i], later, next)
+		newCA.Files(dirs[i], expiry, newCA)
 	}
-	x.waitProgress()
-	left := startDaemon(t, options(4, ours, ours, next))
-	left.waitReady() // settings come from the platform
-	x.waitProgress()
-	is.Equal(left.status().Valid, false)
+	load.waitProgress()
+	outdated := startDaemon(t, options(4, oldCA, oldCA, newCA))
+	outdated.waitReady() // its settings come from the platform
+	load.waitProgress()
+	is.Equal(outdated.status().Valid, false)
 	is.Equal(all[0].status().Members, 4)
-	a := x.stopAndVerify(upstreams...)
-	is.Equal(a.Unknown, uint64(0))
+	account := load.stopAndVerify(upstreams...)
+	is.Equal(account.Unknown, uint64(0))
 }
