--- a/internal/standin/demonstrator/demo.go
+++ b/internal/standin/demonstrator/demo.go
@@ -147,7 +147,7 @@
 	if err := r.waitUntil(ctx, undrainAt); err != nil {
 		return err
 	}
-	p := r.deployment.drain.String()
+	p := r.deployment.drainDomain.String()
 	took, err := r.fleet.operator().set(ctx, resolver.Edit{Path: p, Key: resolver.KeyDrain, Unset: true})
 	if err != nil {
 		return err
@@ -208,7 +208,7 @@
 
 // drainDomain drains a failure domain and times it until nothing runs there.
 func (r *demoRun) drainDomain(ctx context.Context) error {
-	p := r.deployment.drain
+	p := r.deployment.drainDomain
 	began := time.Now()
 	took, err := r.fleet.operator().set(ctx, resolver.Edit{Path: p.String(), Key: resolver.KeyDrain, Value: "true"})
 	if err != nil {
--- a/internal/standin/demonstrator/report.go
+++ b/internal/standin/demonstrator/report.go
@@ -100,12 +100,12 @@
 
 // recordShift keeps how much a plan made at a wall time had moved, whenever it
 // changed.
-func (r *Report) recordShift(at timekeeper.Millis, have float64) {
-	if n := len(r.shiftSamples); n > 0 && r.shiftSamples[n-1].moved == have {
+func (r *Report) recordShift(at timekeeper.Millis, moved float64) {
+	if n := len(r.shiftSamples); n > 0 && r.shiftSamples[n-1].moved == moved {
 		return
 	}
-	r.shiftSamples = append(r.shiftSamples, shiftSample{at, have})
-	r.ShiftMoved = have
+	r.shiftSamples = append(r.shiftSamples, shiftSample{at, moved})
+	r.ShiftMoved = moved
 }
 
 // maxShiftRate is the most that moved within any span, scaled to a minute. The first
--- a/internal/standin/demonstrator/shape.go
+++ b/internal/standin/demonstrator/shape.go
@@ -31,9 +31,9 @@
 		domainDelay time.Duration
 		services    []serviceSpec
 		// shift and drain are what the operators do.
-		shiftFrom string
-		shiftTo   string
-		drain     resolver.Path
+		shiftFrom   string
+		shiftTo     string
+		drainDomain resolver.Path
 	}
 
 	siteDaemons struct {
@@ -84,9 +84,9 @@
 				serviceMillis: 50, bytes: 400 << 10, pace: 800 << 10, connMillis: 1, probeMillis: 6,
 			},
 		},
-		shiftFrom: "erie",
-		shiftTo:   "michigan",
-		drain:     resolver.Path{Region: "michigan", Domain: "b"},
+		shiftFrom:   "erie",
+		shiftTo:     "michigan",
+		drainDomain: resolver.Path{Region: "michigan", Domain: "b"},
 	}
 }
 
@@ -109,9 +109,9 @@
 				serviceMillis: 50, bytes: 400 << 10, pace: 800 << 10, connMillis: 1,
 			},
 		},
-		shiftFrom: "muscat",
-		shiftTo:   "sohar",
-		drain:     resolver.Path{Region: "sohar", Domain: "b"},
+		shiftFrom:   "muscat",
+		shiftTo:     "sohar",
+		drainDomain: resolver.Path{Region: "sohar", Domain: "b"},
 	}
 }
 
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -199,7 +199,7 @@
 		return condition{}, false
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
-	return condition{revision: storer.Revision(n)}, err == nil
+	return condition{expected: storer.Revision(n)}, err == nil
 }
 
 func (s *Server) serveList(w http.ResponseWriter, r *http.Request) {
@@ -217,7 +217,7 @@
 	end := time.NewTimer(timekeeper.Millis(wait).Duration())
 	defer end.Stop()
 	for {
-		b, changed := s.Store.changesSince(q["Prefix"], storer.Revision(since))
+		b, changed := s.Store.since(q["Prefix"], storer.Revision(since))
 		if len(b.Objects) > 0 {
 			writeJSON(w, b)
 			return
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -20,7 +20,7 @@
 	// condition is what a write demands of the object.
 	condition struct {
 		absent   bool
-		revision storer.Revision
+		expected storer.Revision
 	}
 )
 
@@ -64,7 +64,7 @@
 	if c.absent {
 		return !ok
 	}
-	return ok && o.Revision == c.revision
+	return ok && o.Revision == c.expected
 }
 
 func (s *Store) notifyWatchers() {
@@ -90,9 +90,9 @@
 	return b
 }
 
-// changesSince returns the objects under prefixes above a revision, and a channel that
+// since returns the objects under prefixes above a revision, and a channel that
 // closes at the next write.
-func (s *Store) changesSince(prefixes []string, since storer.Revision) (storer.Batch, <-chan struct{}) {
+func (s *Store) since(prefixes []string, since storer.Revision) (storer.Batch, <-chan struct{}) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	b := storer.Batch{Revision: s.revision}
--- a/test/deadly_test.go
+++ b/test/deadly_test.go
@@ -107,15 +107,15 @@
 
 // lateArrivals returns how often the request reached upstreams after all daemons had to know
 // about it, and the total number of crashes.
-func (m *crashingUpstreams) lateArrivals() (lateCount, crashCount int) {
+func (m *crashingUpstreams) lateArrivals() (arrivals, crashes int) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if len(m.crashes) < maxLateArrivals {
 		return 0, len(m.crashes)
 	}
 	known := m.crashes[2].Add(propagationTime)
-	late := slices.DeleteFunc(slices.Clone(m.arrivals), func(t time.Time) bool { return t.Before(known) })
-	return len(late), len(m.crashes)
+	lateArrivals := slices.DeleteFunc(slices.Clone(m.arrivals), func(t time.Time) bool { return t.Before(known) })
+	return len(lateArrivals), len(m.crashes)
 }
 
 // sendRepeatedly sends a request to the daemons in turn for the given time and returns the
@@ -178,10 +178,10 @@
 			is := is.New(t)
 			m, daemons := startCrashingFleet(t)
 			outcomes := sendRepeatedly(c.method, "/deadly", c.body, 8*time.Second, daemons...)
-			late, crashes := m.lateArrivals()
+			lateArrivals, crashes := m.lateArrivals()
 			t.Log(crashes, "upstream crashes; outcomes:", outcomes)
 			is.True(crashes >= maxLateArrivals)
-			is.True(late <= maxLateArrivals) // forwarded although all daemons had to know about it
+			is.True(lateArrivals <= maxLateArrivals) // forwarded although all daemons had to know about it
 			var listed quarantiner.Listing
 			is.Equal(daemons[3].callOperator(http.MethodGet, quarantiner.PathList, nil, &listed), http.StatusOK)
 			is.Equal(len(listed.Suspects), 1)
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -50,7 +50,7 @@
 			d := startProcess(t, "gullvaled", append(args, "--without", "homes,wings,tails")...)
 			is.Equal(d.waitExit(), 2)
 			for _, part := range []string{"wings", "tails", "saved-homes"} {
-				is.True(strings.Contains(d.logText(), part))
+				is.True(strings.Contains(d.text(), part))
 			}
 		})
 	}
@@ -67,7 +67,7 @@
 	entry := startProcess(t, "gullvaled", "entry", "--table", file, "--callers", "127.0.0.1:0", "--stop-millis", "1500")
 	callers := entry.waitField("listeners")["listeners"].([]any)[0].(string)
 	logged := func(msg string, times int) func() bool {
-		return func() bool { return strings.Count(entry.logText(), msg) >= times }
+		return func() bool { return strings.Count(entry.text(), msg) >= times }
 	}
 	token := 0
 	sendRequest := func(host, path, body string) (int, http.Header) {
@@ -175,7 +175,7 @@
 
 	writeTable(tableWithKeys(2, ""))
 	eventually(t, "the removed key is rejected", func() bool { return sendRequest(created.Key) == http.StatusUnauthorized })
-	is.True(!strings.Contains(entry.logText(), created.Key))
+	is.True(!strings.Contains(entry.text(), created.Key))
 	entry.signal(syscall.SIGTERM)
 	is.Equal(entry.waitExit(), 0)
 }
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func (p *proxy) removeToxics() {
+func (p *proxy) heal() {
 	p.Toxics.ResetToxics(context.Background())
 }
 
@@ -327,10 +327,10 @@
 	})
 	eventually(t, "the other is the only member", func() bool { return b.status().Members == 1 })
 	number := b.setAndWait(1, "31")
-	resp, err := http.Get("http://" + a.callers + "/Lookup?Service=keg-ledger")
+	p, err := http.Get("http://" + a.callers + "/Lookup?Service=keg-ledger")
 	is.NoErr(err)
-	resp.Body.Close()
-	is.Equal(resp.StatusCode, http.StatusOK) // serves the last known settings
+	p.Body.Close()
+	is.Equal(p.StatusCode, http.StatusOK) // serves the last known settings
 	is.Equal(a.status().Settings, before)
 	for _, p := range []*proxy{platformProxy, pa, pb} {
 		if err := p.Start(); err != nil {
@@ -419,7 +419,7 @@
 		for _, toxic := range []string{dropForward, dropBackward, slowBackward} {
 			p.addToxic(toxic)
 			load.waitProgress()
-			p.removeToxics()
+			p.heal()
 			load.waitProgress()
 		}
 		p.Stop()
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -119,11 +119,11 @@
 	}
 	_ = p.cmd.Process.Kill()
 	<-p.exited
-	if strings.Contains(p.logText(), "DATA RACE") {
+	if strings.Contains(p.text(), "DATA RACE") {
 		p.t.Errorf("%s reported a data race", p.name)
 	}
 	if p.t.Failed() {
-		p.t.Logf("output of %s:\n%s", p.name, p.logText())
+		p.t.Logf("output of %s:\n%s", p.name, p.text())
 	}
 }
 
@@ -143,7 +143,7 @@
 	return p.output.Write(b)
 }
 
-func (p *process) logText() string {
+func (p *process) text() string {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.output.String()
@@ -172,7 +172,7 @@
 	p.t.Helper()
 	var found map[string]any
 	eventually(p.t, p.name+" prints "+name, func() bool {
-		s := bufio.NewScanner(strings.NewReader(p.logText()))
+		s := bufio.NewScanner(strings.NewReader(p.text()))
 		for s.Scan() {
 			var line map[string]any
 			if json.Unmarshal(s.Bytes(), &line) == nil && line[name] != nil {
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -124,11 +124,11 @@
 	}
 	b.ReportMetric(busiest/idleDuration.Seconds(), "most-link-B/s")
 	report("platform-B/s", before.platform, after.platform, n)
-	report("cpu-ms/s", before.cpu, after.cpu, n)
+	report("cpu-ms/s", before.cpuTime, after.cpuTime, n)
 	// Reading the status beforehand cost each daemon one call.
 	report("calls/s", before.calls+n, after.calls, 1)
 	report("writes/s", before.writes, after.writes, 1)
-	b.ReportMetric(after.rss/n, "rss-KB")
+	b.ReportMetric(after.residentKB/n, "rss-KB")
 }
 
 // BenchmarkLead reports the traffic of the leader as its region grows; most-link-B/s is the leader's.
@@ -229,7 +229,7 @@
 
 // resourceUsage is the total usage of all daemons; links holds the link bytes of each.
 type resourceUsage struct {
-	link, wire, pings, platform, calls, writes, cpu, rss float64
+	link, wire, pings, platform, calls, writes, cpuTime, residentKB float64
 
 	links []float64
 }
@@ -247,8 +247,8 @@
 		s.platform += float64(c.PlatformBytes)
 		s.calls += float64(c.PlatformReads + c.PlatformWrites + c.PlatformWatches)
 		s.writes += float64(c.PlatformWrites)
-		s.cpu += float64(d.cpuTime().Milliseconds())
-		s.rss += d.residentKB()
+		s.cpuTime += float64(d.cpuTime().Milliseconds())
+		s.residentKB += d.residentKB()
 	}
 	return s
 }
@@ -305,13 +305,13 @@
 	d.applySettings(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 1000\n", upstream))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	get := func(to string, n int) time.Duration {
-		req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/x?Token=t%d&Bytes=600", to, n), nil)
+		q, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/x?Token=t%d&Bytes=600", to, n), nil)
 		if err != nil {
 			b.Fatal(err)
 		}
-		req.Header.Set("Gullvale-Service", "keg-ledger")
+		q.Header.Set("Gullvale-Service", "keg-ledger")
 		began := time.Now()
-		resp, err := client.Do(req)
+		resp, err := client.Do(q)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -353,7 +353,7 @@
 func reportThroughput(b *testing.B, d *daemon, sendRequest func(n int)) {
 	b.Helper()
 	const workers = 32
-	cpu, began := d.cpuTime(), time.Now()
+	cpuTime, began := d.cpuTime(), time.Now()
 	var wg sync.WaitGroup
 	for w := range workers {
 		wg.Add(1)
@@ -366,7 +366,7 @@
 	}
 	wg.Wait()
 	total := float64(workers * (b.N/workers + 1))
-	b.ReportMetric(total/(d.cpuTime()-cpu).Seconds(), "per-core-s")
+	b.ReportMetric(total/(d.cpuTime()-cpuTime).Seconds(), "per-core-s")
 	b.ReportMetric(total/time.Since(began).Seconds(), "per-s")
 }
 
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -205,6 +205,6 @@
 	p := startProcess(t, "gullvaled", "--settings", file, "--check")
 	is.Equal(p.waitExit(), 2)
 	for _, want := range []string{":1: Name: ", ":2: Regoin: unknown setting", ":5: Platform.Address: ", "Region: is missing", "Callers: is missing"} {
-		is.True(strings.Contains(p.logText(), want)) // each problem is listed
+		is.True(strings.Contains(p.text(), want)) // each problem is listed
 	}
 }
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -66,7 +66,7 @@
 		time.Sleep(time.Duration(500+c.random.IntN(2500)) * time.Millisecond)
 		c.check()
 	}
-	c.healAll()
+	c.heal()
 	t.Logf("seed %d: %s", *randomSeed, strings.Join(c.history, ", "))
 	eventually(t, "the fleet converges", func() bool { return c.converged() })
 	c.daemons[0].setAndWait(4, "77")
@@ -74,7 +74,7 @@
 	load.waitProgress()
 	load.stopAndVerify(upstreams...)
 	for _, d := range c.daemons {
-		is.True(!strings.Contains(d.logText(), "panic:"))
+		is.True(!strings.Contains(d.text(), "panic:"))
 	}
 }
 
@@ -103,7 +103,7 @@
 	case 7:
 		c.changeSettings(i)
 	case 8:
-		c.healAll()
+		c.heal()
 	}
 }
 
@@ -154,15 +154,15 @@
 	}
 }
 
-// healAll removes all faults.
-func (c *faultRun) healAll() {
+// heal removes all faults.
+func (c *faultRun) heal() {
 	setFaults(c.t, c.platform, platform.Faults{})
 	for i, p := range c.proxies {
 		if c.paused[i] {
 			c.togglePause(i)
 		}
 		if c.blocked[i] {
-			p.removeToxics()
+			p.heal()
 			// Restarting the proxy discards the data it holds back, which would precede new data.
 			if err := p.Update(&toxiproxy.Proxy{Listen: p.Listen, Upstream: c.daemons[i].linksBound, Enabled: false}); err != nil {
 				c.t.Fatal(err)
