--- a/internal/standin/caller/doc.go
+++ b/internal/standin/caller/doc.go
@@ -1,4 +1,4 @@
-// Package caller is an open-loop load of callers over the finder library. It
-// checks every answer against its own request and keeps accounts that can be
-// compared with the journals of the stand-in upstreams.
+// Package caller generates an open-loop load of callers that use the finder
+// library. It checks every response against its request and keeps accounts that
+// can be compared with the journals of the stand-in upstreams.
 package caller
--- a/internal/standin/caller/load.go
+++ b/internal/standin/caller/load.go
@@ -19,43 +19,44 @@
 )
 
 const (
-	// histogram bounds, in microseconds, and its precision.
+	// Bounds of the latency histogram in microseconds, and its precision.
 	lowestMicros      = 1
 	highestMicros     = 3600 * 1000 * 1000
 	significantDigits = 3
 
 	postBodyBytes = 256
 
-	// maxRetries is how often a caller that was refused comes back.
+	// maxRetries is how often a caller retries a request that was refused with a
+	// retry time.
 	maxRetries = 3
 )
 
 type (
-	// Stream is the requests of one kind.
+	// Stream describes the requests of one kind.
 	Stream struct {
-		// Class names it in reports.
+		// Class groups the requests in the accounts.
 		Class   string
 		Service string
-		// Rate is how many requests begin a second.
+		// Rate is the mean number of requests per second.
 		Rate float64
-		// PostPart is the part of them that must not run twice.
+		// PostPart is the fraction of POST requests, which must not run twice.
 		PostPart float64
-		// Bytes is the length of an answer.
+		// Bytes is the length of a response.
 		Bytes int64
-		// Deadline is how long callers wait, 0 for as long as the service
-		// allows.
+		// Deadline is how long callers wait; 0 means the limit of the service.
 		Deadline timekeeper.Millis
-		// Blocks are the client blocks that callers come from; one is drawn
-		// for each request.
+		// Blocks are the client blocks that callers belong to; each request uses
+		// one at random.
 		Blocks []string
-		// Finder returns the finder of a block.
+		// Finder returns the finder for the callers of a block.
 		Finder func(block string) *finder.Finder
 		Seed   uint64
 	}
 
-	// Load drives streams and keeps the accounts. The zero value is ready.
+	// Load sends the requests of streams and keeps the accounts. The zero value
+	// is ready to use.
 	Load struct {
-		// OnResponse is told of every answer. Nil means nobody wants to know.
+		// OnResponse is called for every response. Nil means no callback.
 		OnResponse func(s *Stream, latency time.Duration, p finder.Response)
 
 		lock     sync.Mutex
@@ -65,49 +66,51 @@
 		running  atomic.Int64
 	}
 
-	// Account is what came of the requests of one class.
+	// Account counts the outcomes of the requests of one class.
 	Account struct {
 		Class    string
 		Requests uint64
 		Answered uint64
 		NotRun   uint64
 		Unknown  uint64
-		// Cut is answers that broke off; Wrong is answers with other bytes
-		// than are due.
+		// Cut counts truncated responses; Wrong counts responses with
+		// unexpected content.
 		Cut   uint64
 		Wrong uint64
-		// Retries counts tries after a refusal that named a time.
+		// Retries counts attempts after a refusal that named a retry time.
 		Retries uint64
 		Latency *hdrhistogram.Histogram
-		// Reasons counts why requests were not answered.
+		// Reasons counts the requests that were not answered by outcome and
+		// reason, and the responses counted in Wrong by error.
 		Reasons map[string]uint64
 	}
 
-	// tokenState is what the caller of a token was told.
+	// tokenState is the outcome that the caller of a token saw.
 	tokenState struct {
 		post    bool
 		outcome finder.Outcome
 	}
 
-	// Verdict is what the journals say of the accounts.
+	// Verdict counts the contradictions between the accounts and the journals.
 	Verdict struct {
-		// Lost is requests answered to their callers that no upstream ran.
+		// Lost counts requests answered to their callers that no upstream ran.
 		Lost int
-		// Doubled is requests that must not run twice and did.
+		// Doubled counts POST requests that ran more than once.
 		Doubled int
-		// NotRunRan is requests refused as not run that an upstream ran.
+		// NotRunRan counts POST requests reported as not run that an upstream ran.
 		NotRunRan int
 		Cut       uint64
 		Wrong     uint64
 	}
 )
 
-// Violated tells whether any promise was broken.
+// Violated reports whether any guarantee was violated.
 func (v Verdict) Violated() bool {
 	return v.Lost+v.Doubled+v.NotRunRan > 0 || v.Cut+v.Wrong > 0
 }
 
-// NewClient returns an HTTP client for many callers.
+// NewClient returns an HTTP client that many callers can share. A nil dial
+// means the default dialer.
 func NewClient(dial func(ctx context.Context, network, address string) (net.Conn, error)) *http.Client {
 	t := &http.Transport{
 		DialContext:         dial,
@@ -118,8 +121,8 @@
 	return &http.Client{Transport: t}
 }
 
-// Run begins requests of s at random times until ctx ends. Those under way go
-// on; Wait waits for them.
+// Run starts requests of s with exponentially distributed intervals until ctx is
+// done. Requests in flight continue; use Wait to wait for them.
 func (l *Load) Run(ctx context.Context, s Stream) {
 	if s.Rate <= 0 {
 		return
@@ -141,12 +144,12 @@
 	}
 }
 
-// Wait waits for the requests under way.
+// Wait waits until no request is in flight.
 func (l *Load) Wait() {
 	l.active.Wait()
 }
 
-// Running returns how many requests are under way.
+// Running returns the number of requests in flight.
 func (l *Load) Running() int64 {
 	return l.running.Load()
 }
@@ -192,7 +195,7 @@
 	return r
 }
 
-// errTruncated marks an answer that broke off.
+// errTruncated means that a response ended early.
 var errTruncated = errors.New("cut")
 
 func verifyResponse(p finder.Response, token string, body []byte, length int64) error {
--- a/internal/standin/delayer/conn.go
+++ b/internal/standin/delayer/conn.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxInFlightBytes is how much may be under way in one direction, as on a line
-	// of 350 ms and 1.5 MB/s, or 35 ms and 15 MB/s.
+	// maxInFlightBytes is the bandwidth-delay product per direction, as of a link
+	// with 350 ms and 1.5 MB/s, or 35 ms and 15 MB/s.
 	maxInFlightBytes = 1 << 19
 
 	chunkBytes = 32 << 10
 )
 
 type (
-	// pipe is one direction: bytes that become due.
+	// pipe carries data in one direction and delivers it after a delay.
 	pipe struct {
 		delay time.Duration
 
@@ -35,7 +35,7 @@
 		due   time.Time
 	}
 
-	// conn is a connection with a line in each direction.
+	// conn is a connection with a pipe in each direction.
 	conn struct {
 		net.Conn
 		in  *pipe
@@ -43,7 +43,7 @@
 	}
 )
 
-// Wrap returns c with a one-way delay. Without one it returns c itself.
+// Wrap returns c with a one-way delay, or c itself if delay is not positive.
 func Wrap(c net.Conn, delay time.Duration) net.Conn {
 	if delay <= 0 {
 		return c
@@ -60,7 +60,7 @@
 	return l
 }
 
-// enqueue adds bytes that arrive after the delay. It waits while the line is full.
+// enqueue adds data to be delivered after the delay. It blocks while the pipe is full.
 func (l *pipe) enqueue(b []byte) error {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// closeWith lets readers have what is under way and then err.
+// closeWith makes reads return err once the data in flight has been read.
 func (l *pipe) closeWith(err error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -86,7 +86,7 @@
 	l.changed.Broadcast()
 }
 
-// dequeue reads bytes that are due.
+// dequeue reads data whose delay has passed and blocks until there is some.
 func (l *pipe) dequeue(b []byte) (int, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -176,10 +176,10 @@
 	}
 }
 
-// Read reads what has arrived.
+// Read returns data that has arrived.
 func (c *conn) Read(b []byte) (int, error) { return c.in.dequeue(b) }
 
-// Write sends bytes on their way.
+// Write queues b for delivery after the delay.
 func (c *conn) Write(b []byte) (int, error) {
 	if err := c.out.enqueue(b); err != nil {
 		return 0, err
@@ -187,24 +187,24 @@
 	return len(b), nil
 }
 
-// Close ends the connection once what is under way has arrived.
+// Close closes the connection once the data in flight has been delivered.
 func (c *conn) Close() error {
 	c.in.closeWith(net.ErrClosed)
 	c.out.closeWith(io.EOF)
 	return nil
 }
 
-// SetDeadline bounds reads. Writes wait for room only.
+// SetDeadline sets the read deadline. Writes block only while the pipe is full.
 func (c *conn) SetDeadline(t time.Time) error {
 	c.in.setDeadline(t)
 	return nil
 }
 
-// SetReadDeadline bounds reads.
+// SetReadDeadline sets the read deadline.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.in.setDeadline(t)
 	return nil
 }
 
-// SetWriteDeadline does nothing: writes wait for room only.
+// SetWriteDeadline does nothing: writes block only while the pipe is full.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/standin/demonstrator/demo.go
+++ b/internal/standin/demonstrator/demo.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// ShortestRun is the least length of a demo in which the shift and the
-	// drain come to their end.
+	// ShortestRun is the minimum length of a demo in which the shift and the
+	// drain complete.
 	ShortestRun = 20 * time.Second
 
 	shiftShare = 0.2
 
-	// The moments of the run, as parts of its length.
+	// Start times of the operations, as fractions of the length of the run.
 	shiftAt   = 0.10
 	drainAt   = 0.45
 	undrainAt = 0.80
 
-	// shiftFraction is the part of the run in which the shift may move all of its
-	// share; the cap follows from it.
+	// shiftFraction is the fraction of the run in which the shift may move its
+	// whole share; the cap is derived from it.
 	shiftFraction = 0.25
 
 	pollInterval = 20 * time.Millisecond
 )
 
 type (
-	// Options is what a demo is to be.
+	// Options configures a demo.
 	Options struct {
 		Shape string
-		// Length is how long the load lasts.
+		// Length is the duration of the load.
 		Length time.Duration
-		// Load is the load as a part of all slots.
+		// Load is the load as a fraction of the capacity of all slots.
 		Load float64
 		Seed uint64
-		// Out receives the progress.
+		// Out receives progress messages.
 		Out io.Writer
 	}
 
-	// demoRun is one demo under way.
+	// demoRun is a demo in progress.
 	demoRun struct {
 		options    Options
 		deployment deployment
@@ -57,7 +57,7 @@
 	}
 )
 
-// Run runs a demo and reports on it.
+// Run runs a demo and returns its report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	s, err := deploymentByName(o.Shape)
 	if err != nil {
@@ -87,7 +87,7 @@
 	fmt.Fprintf(r.options.Out, "%5.1fs  %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// runLoad runs the load and the operators beside it.
+// runLoad runs the load and, at the same time, the operations.
 func (r *demoRun) runLoad(ctx context.Context) error {
 	loadCtx, cancel := context.WithTimeout(ctx, r.options.Length)
 	defer cancel()
@@ -106,8 +106,8 @@
 	r.load.Run(ctx, s)
 }
 
-// streams is the load of each service from each site's blocks. Answers count
-// in the classes of their service.
+// streams returns the load of each service from the blocks of each site.
+// Requests are counted in a class named after their service.
 func (r *demoRun) streams() []caller.Stream {
 	finders := r.fleet.finders()
 	var out []caller.Stream
@@ -130,7 +130,7 @@
 	return out
 }
 
-// operate does what operators do: a shift with a cap, a drain, its end.
+// operate performs a shift with a cap, a drain, and an undrain.
 func (r *demoRun) operate(ctx context.Context) error {
 	if err := r.waitUntil(ctx, shiftAt); err != nil {
 		return err
@@ -166,8 +166,8 @@
 	}
 }
 
-// shiftTraffic moves a part of the first service's traffic and watches the plan keep
-// the cap.
+// shiftTraffic shifts a share of the first service's traffic and starts to
+// observe the progress of the plan.
 func (r *demoRun) shiftTraffic(ctx context.Context) error {
 	service := r.deployment.services[0].name
 	path := resolver.Path{Region: r.deployment.shiftFrom, Service: service}.String()
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// runShiftWatch follows the share that has moved.
+// runShiftWatch records the share that has moved until the shift is complete.
 func (r *demoRun) runShiftWatch(ctx context.Context) {
 	began := time.Now()
 	for ctx.Err() == nil {
@@ -206,7 +206,8 @@
 	}
 }
 
-// drainDomain drains a failure domain and times it until nothing runs there.
+// drainDomain drains a failure domain and measures the time until no request
+// runs there.
 func (r *demoRun) drainDomain(ctx context.Context) error {
 	p := r.deployment.drainDomain
 	began := time.Now()
@@ -215,7 +216,8 @@
 		return err
 	}
 	r.logf("drain %s: in force on all after %d ms", p, took.Milliseconds())
-	// Empty is what stays empty: late callers may still come.
+	// The domain counts as empty once no request has run for a second, because
+	// late callers may still arrive.
 	const quiet = time.Second
 	last := time.Now()
 	for time.Since(last) < quiet {
--- a/internal/standin/demonstrator/fleet.go
+++ b/internal/standin/demonstrator/fleet.go
@@ -60,7 +60,7 @@
 	}
 )
 
-// startFleet starts everything and waits until the settings are in force.
+// startFleet starts all processes and waits until the settings are in force.
 func startFleet(ctx context.Context, s deployment) (*fleet, error) {
 	f := &fleet{
 		deployment: s,
@@ -103,7 +103,7 @@
 	_ = s.Serve(l)
 }
 
-// startServers spreads the servers of each service over the sites evenly.
+// startServers starts the upstreams of each service, spread evenly over the sites.
 func (f *fleet) startServers() error {
 	sites := f.deployment.sites()
 	for _, v := range f.deployment.services {
@@ -176,7 +176,8 @@
 	return f.sites[address]
 }
 
-// linkDial connects a daemon at a site to others with the delay of the line.
+// linkDial returns a dialer for the links of a daemon at a site, with the delay
+// to the peer's site.
 func (f *fleet) linkDial(from registrar.Site) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		return dialDelayed(ctx, address, f.deployment.delay(from, f.siteOf(address)))
@@ -189,7 +190,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The handshake takes a round trip.
+	// The TCP handshake takes a round trip.
 	time.Sleep(2 * delay)
 	return delayer.Wrap(c, delay), nil
 }
@@ -214,7 +215,7 @@
 	return out
 }
 
-// settings is the settings of the deployment.
+// settings returns the settings of the deployment as TOML.
 func (f *fleet) settings() string {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "BlockTable = %q\n", blockTableName)
@@ -237,7 +238,7 @@
 	return b.String()
 }
 
-// applySettings puts the settings in force and waits until all slots are owned.
+// applySettings applies the settings and waits until all slots are owned.
 func (f *fleet) applySettings(ctx context.Context) error {
 	o := f.operator()
 	if err := f.await(ctx, "daemons are up", func() bool {
@@ -283,7 +284,7 @@
 	return nil
 }
 
-// stop ends everything, daemons first.
+// stop stops the daemons and then everything else.
 func (f *fleet) stop() {
 	for _, d := range f.daemons {
 		d.Kill()
@@ -293,7 +294,7 @@
 	}
 }
 
-// journals returns what the upstreams ran.
+// journals returns the journal of each upstream.
 func (f *fleet) journals() []map[string]int {
 	var out []map[string]int
 	for _, u := range f.servers {
--- a/internal/standin/demonstrator/operator.go
+++ b/internal/standin/demonstrator/operator.go
@@ -14,7 +14,7 @@
 	"github.com/gullvale/gullvale/pkg/recorder"
 )
 
-// person is an operator at the listener of one daemon.
+// operatorClient calls the operator API of one daemon.
 type operatorClient struct {
 	address string
 }
@@ -58,8 +58,8 @@
 	return a.Number, p.call(ctx, http.MethodPost, operator.PathChange, q, &a)
 }
 
-// set changes settings and returns how long it took until they were in force on
-// all daemons.
+// set changes settings and returns the time until they were in force on all
+// daemons.
 func (p operatorClient) set(ctx context.Context, edits ...resolver.Edit) (time.Duration, error) {
 	began := time.Now()
 	n, err := p.change(ctx, operator.ChangeRequest{Edits: edits})
--- a/internal/standin/demonstrator/report.go
+++ b/internal/standin/demonstrator/report.go
@@ -17,40 +17,42 @@
 )
 
 const (
-	// usageWindow is over how long the use of slots is averaged for its peak.
+	// usageWindow is the window over which the slot usage is averaged.
 	usageWindow = time.Second
 
 	microsPerMilli = 1000
 
-	// capTolerance allows for the time between a step of the plan and its sight.
+	// capTolerance allows for the delay between a step of the plan and its
+	// observation.
 	capTolerance = 0.02
 )
 
 type (
-	// Report is what came of a demo.
+	// Report is the result of a demo.
 	Report struct {
 		Shape   string
 		Seconds float64
 		Classes []ClassReport
-		// Use is the highest use of slots by region, as a mean over one
-		// second and at any moment, in parts of all its slots.
+		// Use is the peak slot usage by region, as a mean over one second and
+		// at any moment, as fractions of the region's slots.
 		Use []RegionUse
-		// Drain is from the command until nothing ran there.
+		// Drain is the time from the command until no request ran in the domain.
 		Drain time.Duration
-		// ShiftCapPerMinute is the cap of the shift, ShiftFastest the most
-		// that moved in any span, scaled to a minute.
+		// ShiftCapPerMinute is the cap of the shift, ShiftFastest the highest
+		// observed rate per minute.
 		ShiftCapPerMinute float64
 		ShiftFastest      float64
 		ShiftMoved        float64
 		Verdict           caller.Verdict
-		// Shed is requests that upstreams had to refuse for want of a slot.
+		// Shed counts requests that upstreams refused for lack of a free slot.
 		Shed    int64
 		Lookups uint64
 
 		shiftSamples []shiftSample
 	}
 
-	// ClassReport is the measures of one class, in milliseconds.
+	// ClassReport holds the measurements of one class, with latencies in
+	// milliseconds.
 	ClassReport struct {
 		Class    string
 		Requests uint64
@@ -64,7 +66,7 @@
 		Reasons  map[string]uint64 `json:",omitempty"`
 	}
 
-	// RegionUse is the highest use of a region.
+	// RegionUse is the peak slot usage of a region.
 	RegionUse struct {
 		Region string
 		Mean   float64
@@ -76,7 +78,7 @@
 		moved float64
 	}
 
-	// usage samples the slots in use.
+	// usage samples the slot usage of each region.
 	usage struct {
 		fleet *fleet
 		slots map[string]int
@@ -93,13 +95,13 @@
 	}
 )
 
-// Broken tells whether any promise was broken.
+// Broken reports whether any guarantee was violated.
 func (r *Report) Broken() bool {
 	return r.Verdict.Violated() || r.ShiftFastest > r.ShiftCapPerMinute*(1+capTolerance)
 }
 
-// recordShift keeps how much a plan made at a wall time had moved, whenever it
-// changed.
+// recordShift records the moved share whenever it has changed; at is when the
+// plan was made.
 func (r *Report) recordShift(at timekeeper.Millis, moved float64) {
 	if n := len(r.shiftSamples); n > 0 && r.shiftSamples[n-1].moved == moved {
 		return
@@ -108,8 +110,9 @@
 	r.ShiftMoved = moved
 }
 
-// maxShiftRate is the most that moved within any span, scaled to a minute. The first
-// step may hold what the planner allows at once, so the span begins before it.
+// maxShiftRate returns the highest rate of the shift per minute over any span of
+// at least 2 s. The first step may include an initial burst that the planner
+// allows, so spans start at the sample before it.
 func (r *Report) maxShiftRate() float64 {
 	var most float64
 	for i, a := range r.shiftSamples {
@@ -167,7 +170,7 @@
 	return sum / float64(len(points))
 }
 
-// busyAt is how many requests run at a site now.
+// busyAt returns the number of requests that run at a site.
 func (f *fleet) busyAt(site registrar.Site) int64 {
 	var n int64
 	for _, s := range f.servers {
@@ -178,7 +181,7 @@
 	return n
 }
 
-// finish fills in the report.
+// finish completes the report.
 func (r *demoRun) finish() {
 	p := &r.report
 	p.Shape = r.deployment.name
@@ -215,7 +218,7 @@
 	}
 }
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (r *Report) Print(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\nclass\trequests\tanswered\tnot run\tunknown\tp50 ms\tp90 ms\tp99 ms\tmax ms\t")
--- a/internal/standin/demonstrator/shape.go
+++ b/internal/standin/demonstrator/shape.go
@@ -9,7 +9,7 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// The shapes of the two deployments.
+// Names of the two built-in deployments.
 const (
 	ShapeKegloop = "kegloop"
 	ShapeAthath  = "athath"
@@ -22,15 +22,15 @@
 )
 
 type (
-	// deployment is a deployment: its places, services and lines.
+	// deployment describes the sites, services and link delays of a deployment.
 	deployment struct {
 		name string
-		// daemons is how many entries each site has.
+		// daemons is the number of daemons at each site.
 		daemons []siteDaemons
-		// domainDelay is one way between failure domains of a region.
+		// domainDelay is the one-way delay between failure domains of a region.
 		domainDelay time.Duration
 		services    []serviceSpec
-		// shift and drain are what the operators do.
+		// The regions of the shift, and the failure domain to drain.
 		shiftFrom   string
 		shiftTo     string
 		drainDomain resolver.Path
@@ -115,7 +115,7 @@
 	}
 }
 
-// slotMillis is the mean time that a request holds a slot.
+// slotMillis returns the mean time that a request holds a slot, in milliseconds.
 func (s serviceSpec) slotMillis() float64 {
 	if s.pace == 0 {
 		return s.serviceMillis
@@ -123,12 +123,12 @@
 	return s.serviceMillis + 1000*float64(s.bytes)/float64(s.pace)
 }
 
-// requestRate is how many requests a second use a part of all slots.
+// requestRate returns the requests per second that use the given fraction of all slots.
 func (s serviceSpec) requestRate(load float64) float64 {
 	return load * float64(s.servers*s.slots) / s.slotMillis() * 1000
 }
 
-// delay is one way between two sites.
+// delay returns the one-way delay between two sites.
 func (s deployment) delay(a, b registrar.Site) time.Duration {
 	switch {
 	case a == b:
@@ -139,7 +139,7 @@
 	return regionDelay
 }
 
-// clientDelayTo is one way between the callers of a region and a site.
+// clientDelayTo returns the one-way delay between the callers of a region and a site.
 func (s deployment) clientDelayTo(region string, site registrar.Site) time.Duration {
 	if site.Region() == region {
 		return clientDelay
@@ -155,7 +155,7 @@
 	return out
 }
 
-// clientBlocks are the client blocks of the n-th site.
+// clientBlocks returns the client blocks of the n-th site.
 func clientBlocks(n int) []string {
 	var out []string
 	for i := range blocksPerSite {
--- a/internal/standin/payload/doc.go
+++ b/internal/standin/payload/doc.go
@@ -1,3 +1,3 @@
-// Package payload makes the answers of the stand-in upstreams from the token of
-// the request, so that a caller can check every byte of its answer by itself.
+// Package payload generates the responses of the stand-in upstreams from the
+// token and body of the request, so that a caller can verify every byte.
 package payload
--- a/internal/standin/payload/stream.go
+++ b/internal/standin/payload/stream.go
@@ -10,22 +10,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// The parts of a request to a stand-in upstream.
+// Query parameters of a request to a stand-in upstream.
 const (
-	// ParamToken names the request; ParamBytes is the length of the answer.
+	// ParamToken identifies the request; ParamBytes is the length of the response.
 	ParamToken = "Token"
 	ParamBytes = "Bytes"
 
 	seedBytes = 32
 )
 
-// Stream is the answer to one token: the same bytes each time.
+// Stream generates the response to a token. Equal arguments of New give equal bytes.
 type Stream struct {
 	source    *rand.ChaCha8
 	remaining int64
 }
 
-// New returns the answer of the given length to a token and a request body.
+// New returns the response of the given length to a token and a request body.
 func New(token string, body []byte, length int64) *Stream {
 	var seed [seedBytes]byte
 	binary.LittleEndian.PutUint64(seed[0:], xxhash.Sum64String(token))
@@ -33,7 +33,7 @@
 	return &Stream{source: rand.NewChaCha8(seed), remaining: length}
 }
 
-// Read returns the next bytes of the answer.
+// Read implements io.Reader.
 func (s *Stream) Read(p []byte) (int, error) {
 	if s.remaining == 0 {
 		return 0, io.EOF
@@ -46,7 +46,8 @@
 	return n, nil
 }
 
-// Verify reads an answer and compares it with the one that is due.
+// Verify reads a response, compares it with want, and returns the number of
+// bytes that matched.
 func Verify(r io.Reader, want *Stream) (int64, error) {
 	var total int64
 	got := make([]byte, 32<<10)
--- a/internal/standin/platform/doc.go
+++ b/internal/standin/platform/doc.go
@@ -1,4 +1,4 @@
-// Package platform is a small stand-in for the platform's object API. It keeps
-// objects in memory, counts each call, and fails on request: outages, slowness,
-// and answers lost after the write took effect.
+// Package platform is a stand-in for the platform's object API. It keeps objects
+// in memory, counts calls, and injects faults: outages, delays, and responses
+// lost after the write took effect.
 package platform
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -16,22 +16,22 @@
 const objectsPath = "/Objects/"
 
 type (
-	// Faults is what goes wrong. The zero value is a platform in good health.
+	// Faults are the faults to inject. The zero value injects none.
 	Faults struct {
-		// Down refuses every call with status 503.
+		// Down makes every call fail with status 503.
 		Down bool
 		// SlowMillis delays every call.
 		SlowMillis timekeeper.Millis
-		// LoseAnswers is how many of the next writes take effect and then lose
-		// their answer with the connection.
+		// LoseAnswers is the number of next writes that take effect but whose
+		// connection is closed without a response.
 		LoseAnswers int
-		// LosePrefix restricts LoseAnswers to objects with such names.
+		// LosePrefix restricts LoseAnswers to objects whose names have this prefix.
 		LosePrefix string
-		// DownAfterLoss refuses every call once an answer was lost.
+		// DownAfterLoss sets Down once a response has been lost.
 		DownAfterLoss bool
 	}
 
-	// Counts is how many calls were made.
+	// Counts is the number of calls by kind, and of watches that wait now.
 	Counts struct {
 		Reads   uint64
 		Writes  uint64
@@ -39,8 +39,8 @@
 		Waiting int
 	}
 
-	// Server is the object API over HTTP. The zero value serves an empty store
-	// to anybody; Token restricts it.
+	// Server serves the object API over HTTP. The zero value has an empty store and
+	// accepts any caller; a non-empty Token is required as a bearer token.
 	Server struct {
 		Store Store
 		Token string
@@ -51,21 +51,21 @@
 	}
 )
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the faults to inject.
 func (s *Server) SetFaults(f Faults) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.faults = f
 }
 
-// Counts returns the calls so far.
+// Counts returns the number of calls so far.
 func (s *Server) Counts() Counts {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.counts
 }
 
-// ServeHTTP serves the API, and /Faults and /Counts for whoever runs it.
+// ServeHTTP serves the API, and the control paths /Faults and /Counts.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/Faults":
@@ -94,7 +94,7 @@
 	}
 }
 
-// admit counts a call and lets the faults that stop it happen.
+// admit counts a call, delays it, and reports whether it may proceed.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request) bool {
 	s.lock.Lock()
 	f := s.faults
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -9,7 +9,7 @@
 )
 
 type (
-	// Store is the objects. The zero value is empty.
+	// Store is an in-memory object store. The zero value is empty.
 	Store struct {
 		lock     sync.Mutex
 		revision storer.Revision
@@ -17,7 +17,7 @@
 		changed  chan struct{}
 	}
 
-	// condition is what a write demands of the object.
+	// condition is the precondition of a write.
 	condition struct {
 		absent   bool
 		expected storer.Revision
@@ -31,7 +31,7 @@
 	return o, ok
 }
 
-// put writes an object; it reports false when the condition does not hold.
+// put writes an object. It returns false if the condition does not hold.
 func (s *Store) put(name string, body []byte, c condition) (storer.Revision, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -90,8 +90,8 @@
 	return b
 }
 
-// since returns the objects under prefixes above a revision, and a channel that
-// closes at the next write.
+// since returns the objects with one of the prefixes that changed after a
+// revision, and a channel that is closed at the next write.
 func (s *Store) since(prefixes []string, since storer.Revision) (storer.Batch, <-chan struct{}) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/standin/seeder/seeder.go
+++ b/internal/standin/seeder/seeder.go
@@ -1,5 +1,5 @@
-// Package seeder fixes the seeds of randomised tests, so that CI reaches the same
-// verdict on every run. Long runs on other seeds take the flags of rapid.
+// Package seeder fixes the seed of property-based tests, so that CI gives the same
+// result on every run. Use the flags of rapid for long runs with other seeds.
 package seeder
 
 import (
@@ -14,8 +14,8 @@
 	unset       = "0"
 )
 
-// Main runs the tests of a package under the fixed seed, unless the command line
-// names another.
+// Main runs the tests of a package with the fixed seed, unless the command line
+// sets another. It does not return.
 func Main(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup(seedFlag); f != nil && f.Value.String() == unset {
--- a/internal/standin/server/doc.go
+++ b/internal/standin/server/doc.go
@@ -1,4 +1,4 @@
-// Package server is a stand-in upstream: slots, a cost for each new connection
-// and each probe, a cold start, shedding, drains, cancellation, and a journal of
-// what it ran, against which callers' accounts are checked.
+// Package server is a stand-in upstream with a limited number of slots, a cost
+// per connection and probe, a cold start, load shedding, draining, cancellation,
+// and a journal of the requests it ran, to check the accounts of callers against.
 package server
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -15,8 +15,8 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// The headers by which this stand-in says that it shed a request, or is about to
-// stop.
+// Response headers of the stand-in: the request was shed without being run, and
+// the server is draining.
 const (
 	HeaderNotRun   = "X-Not-Run"
 	HeaderDraining = "X-Draining"
@@ -30,31 +30,31 @@
 
 	maxBodyBytes = 64 << 20
 
-	// maxServiceMultiple bounds a drawn service time, in multiples of the mean.
+	// maxServiceMultiple caps a random service time, in multiples of the mean.
 	maxServiceMultiple = 8
 
 	chunkBytes = 16 << 10
 )
 
 type (
-	// Server is one stand-in upstream. Set the exported fields before use.
+	// Server is a stand-in upstream. Set the exported fields before use.
 	Server struct {
 		Name  string
 		Slots int
-		// ServiceMillis is the mean time to serve a request, drawn from an
-		// exponential distribution.
+		// ServiceMillis is the mean service time of a request; service times
+		// are exponentially distributed.
 		ServiceMillis float64
-		// Bytes is the length of an answer whose request names none.
+		// Bytes is the length of a response if the request does not set one.
 		Bytes int64
-		// Pace is how many bytes a second an answer flows; 0 is no limit.
+		// Pace limits a response to this many bytes per second; 0 means no limit.
 		Pace int64
-		// ConnMillis and ProbeMillis are what a new connection and a probe
-		// cost, during which nothing else is begun.
+		// ConnMillis and ProbeMillis are the costs of a new connection and a
+		// probe. Connections and probes are handled one at a time.
 		ConnMillis  timekeeper.Millis
 		ProbeMillis timekeeper.Millis
-		// ColdRequests is how many first requests take twice as long.
+		// ColdRequests is the number of first requests that take twice as long.
 		ColdRequests int64
-		// LagMillis is how old the load is that the load page shows.
+		// LagMillis is the maximum age of the load reported at /load.
 		LagMillis timekeeper.Millis
 		Seed      uint64
 
@@ -76,7 +76,7 @@
 		reportedAt   time.Time
 	}
 
-	// Counts is what a stand-in did.
+	// Counts holds the counters and the journal of a server.
 	Counts struct {
 		Name    string
 		Slots   int
@@ -90,7 +90,7 @@
 	}
 )
 
-// HTTP returns a server for s. The caller sets its address.
+// HTTP returns an HTTP server for s. The caller sets its address.
 func (s *Server) HTTP() *http.Server {
 	return &http.Server{Handler: s, ConnState: s.connState}
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-// occupyCPU makes everything else wait.
+// occupyCPU simulates work that is done one at a time.
 func (s *Server) occupyCPU(m timekeeper.Millis) {
 	if m <= 0 {
 		return
@@ -112,13 +112,13 @@
 	time.Sleep(m.Duration())
 }
 
-// Drain announces that the server stops, or that it is back.
+// Drain starts or ends draining.
 func (s *Server) Drain(on bool) {
 	s.drainedAt.Store(time.Now().UnixNano())
 	s.draining.Store(on)
 }
 
-// Counts returns what s did so far.
+// Counts returns the counters and a copy of the journal.
 func (s *Server) Counts() Counts {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -139,12 +139,12 @@
 	return c
 }
 
-// Busy returns how many requests run now.
+// Busy returns the number of requests that run now.
 func (s *Server) Busy() int64 {
 	return s.busy.Load()
 }
 
-// ServeHTTP serves requests, probes, and the pages for whoever runs s.
+// ServeHTTP serves requests, probes, and the control paths.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case probePath:
@@ -173,7 +173,7 @@
 	}
 }
 
-// delayedLoad is the number of busy slots some time ago.
+// delayedLoad returns the number of busy slots, updated every LagMillis.
 func (s *Server) delayedLoad() int64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -184,7 +184,7 @@
 	return s.reportedLoad
 }
 
-// lateThreshold is when new work at a draining server counts as late.
+// lateThreshold is the time after the start of a drain from which new requests count as late.
 const lateThreshold = 2 * time.Second
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
@@ -205,7 +205,7 @@
 	s.updatePeak()
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
-		// Half a request is no request: nothing of it is run.
+		// A request whose body is incomplete is not run.
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -227,7 +227,7 @@
 	}
 }
 
-// recordRun notes in the journal that a request takes effect.
+// recordRun records in the journal that a request ran.
 func (s *Server) recordRun(token string) {
 	s.served.Add(1)
 	s.lock.Lock()
@@ -238,7 +238,7 @@
 	s.journal[token]++
 }
 
-// simulateWork takes the time of the request. It reports false when the caller gave up.
+// simulateWork waits for the service time. It returns false if the caller gave up.
 func (s *Server) simulateWork(r *http.Request) bool {
 	select {
 	case <-time.After(s.drawServiceTime()):
@@ -280,7 +280,7 @@
 		}
 		sent += int64(n)
 		if sent == length {
-			// The slot is free before the caller can see the end.
+			// The slot must be free before the caller sees the end of the response.
 			free()
 		}
 		if _, err := w.Write(piece[:n]); err != nil {
--- a/internal/standin/signer/authority.go
+++ b/internal/standin/signer/authority.go
@@ -1,6 +1,6 @@
-// Package signer stands in for the authority of a deployment: it signs certificates
-// for daemons and writes the files that their settings name. It is for tests and
-// stops the process when the system gives it no randomness or no files.
+// Package signer is a test certificate authority: it signs the certificates of
+// daemons and writes the files that their settings name. It panics if randomness
+// or the file system fails.
 package signer
 
 import (
@@ -24,21 +24,21 @@
 	notBeforeOffset = -time.Hour
 )
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// New makes an authority that is valid for an hour.
+// New returns an authority whose certificate is valid for an hour.
 func New() *Authority {
 	a := &Authority{key: newKey()}
 	a.cert = a.sign(nil, &a.key.PublicKey, time.Now().Add(time.Hour))
 	return a
 }
 
-// Files writes what a daemon needs into dir: a certificate signed by a, its key, and
-// the authorities to trust.
+// Files writes the files of a daemon to dir: a certificate signed by a and valid
+// until the given time, its key, and the authorities to trust.
 func (a *Authority) Files(dir string, until time.Time, trust ...*Authority) encrypter.Files {
 	key := newKey()
 	der := must(x509.MarshalPKCS8PrivateKey(key))
@@ -57,7 +57,7 @@
 	return f
 }
 
-// sign signs for a key, by the authority itself when parent is nil.
+// sign issues a certificate for a key. A nil parent makes it a self-signed authority.
 func (a *Authority) sign(parent *x509.Certificate, key *ecdsa.PublicKey, until time.Time) *x509.Certificate {
 	c := &x509.Certificate{
 		SerialNumber: must(rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))),
