--- a/internal/standin/caller/load.go
+++ b/internal/standin/caller/load.go
@@ -57,7 +57,7 @@
 	// is ready to use.
 	Load struct {
 		// OnResponse is called for every response. Nil means no callback.
-		OnResponse func(s *Stream, latency time.Duration, p finder.Response)
+		OnResponse func(s *Stream, latency time.Duration, resp finder.Response)
 
 		lock     sync.Mutex
 		accounts map[string]*Account
@@ -161,21 +161,21 @@
 	r := newRequest(s, token, post, block)
 	f := s.Finder(block)
 	ctx := context.Background()
-	backs := 0
-	p, err := f.Send(ctx, r)
-	for err == nil && p.Outcome == finder.NotRun && p.RetryAfter > 0 && backs < maxRetries {
-		backs++
-		finder.Wait(ctx, p)
-		p, err = f.Send(ctx, r)
+	retries := 0
+	resp, err := f.Send(ctx, r)
+	for err == nil && resp.Outcome == finder.NotRun && resp.RetryAfter > 0 && retries < maxRetries {
+		retries++
+		finder.Wait(ctx, resp)
+		resp, err = f.Send(ctx, r)
 	}
 	if err != nil {
-		p.Outcome = finder.NotRun
+		resp.Outcome = finder.NotRun
 	}
-	broken := verifyResponse(p, token, r.Body, s.Bytes)
+	verifyErr := verifyResponse(resp, token, r.Body, s.Bytes)
 	latency := time.Since(began)
-	l.record(s, token, post, p, broken, latency, backs)
+	l.record(s, token, post, resp, verifyErr, latency, retries)
 	if l.OnResponse != nil {
-		l.OnResponse(s, latency, p)
+		l.OnResponse(s, latency, resp)
 	}
 }
 
@@ -198,33 +198,33 @@
 // errTruncated means that a response ended early.
 var errTruncated = errors.New("cut")
 
-func verifyResponse(p finder.Response, token string, body []byte, length int64) error {
-	if p.Body == nil {
+func verifyResponse(resp finder.Response, token string, body []byte, length int64) error {
+	if resp.Body == nil {
 		return nil
 	}
-	defer p.Body.Close()
-	if p.Status != http.StatusOK {
-		return fmt.Errorf("status %d", p.Status)
+	defer resp.Body.Close()
+	if resp.Status != http.StatusOK {
+		return fmt.Errorf("status %d", resp.Status)
 	}
-	_, err := payload.Verify(p.Body, payload.New(token, body, length))
-	var ne net.Error
-	if err != nil && (errors.As(err, &ne) || isTruncated(err)) {
+	_, err := payload.Verify(resp.Body, payload.New(token, body, length))
+	var netErr net.Error
+	if err != nil && (errors.As(err, &netErr) || isTruncated(err)) {
 		return errTruncated
 	}
 	return err
 }
 
-func (l *Load) record(s *Stream, token string, post bool, p finder.Response, broken error, latency time.Duration, backs int) {
+func (l *Load) record(s *Stream, token string, post bool, resp finder.Response, verifyErr error, latency time.Duration, retries int) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	a := l.account(s.Class)
 	a.Requests++
-	a.Retries += uint64(backs)
+	a.Retries += uint64(retries)
 	if l.tokens == nil {
 		l.tokens = map[string]tokenState{}
 	}
-	l.tokens[token] = tokenState{post: post, outcome: p.Outcome}
-	switch p.Outcome {
+	l.tokens[token] = tokenState{post: post, outcome: resp.Outcome}
+	switch resp.Outcome {
 	case finder.Answered:
 		a.Answered++
 		_ = a.Latency.RecordValue(max(latency.Microseconds(), lowestMicros))
@@ -233,15 +233,15 @@
 	default:
 		a.Unknown++
 	}
-	if p.Outcome != finder.Answered {
-		a.Reasons[p.Outcome.String()+": "+p.Reason]++
+	if resp.Outcome != finder.Answered {
+		a.Reasons[resp.Outcome.String()+": "+resp.Reason]++
 	}
 	switch {
-	case errors.Is(broken, errTruncated):
+	case errors.Is(verifyErr, errTruncated):
 		a.Cut++
-	case broken != nil:
+	case verifyErr != nil:
 		a.Wrong++
-		a.Reasons["wrong: "+broken.Error()]++
+		a.Reasons["wrong: "+verifyErr.Error()]++
 	}
 }
 
@@ -276,17 +276,17 @@
 
 // CheckJournals compares the accounts with the journals of all upstreams.
 func (l *Load) CheckJournals(journals []map[string]int) Verdict {
-	ran := map[string]int{}
+	runs := map[string]int{}
 	for _, j := range journals {
 		for t, n := range j {
-			ran[t] += n
+			runs[t] += n
 		}
 	}
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	var v Verdict
 	for t, s := range l.tokens {
-		n := ran[t]
+		n := runs[t]
 		if s.outcome == finder.Answered && n == 0 {
 			v.Lost++
 		}
--- a/internal/standin/demonstrator/demo.go
+++ b/internal/standin/demonstrator/demo.go
@@ -91,18 +91,18 @@
 func (r *demoRun) runLoad(ctx context.Context) error {
 	loadCtx, cancel := context.WithTimeout(ctx, r.options.Length)
 	defer cancel()
-	var streams sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, s := range r.streams() {
-		streams.Add(1)
-		go r.runStream(loadCtx, s, &streams)
+		wg.Add(1)
+		go r.runStream(loadCtx, s, &wg)
 	}
 	err := r.operate(loadCtx)
-	streams.Wait()
+	wg.Wait()
 	return err
 }
 
-func (r *demoRun) runStream(ctx context.Context, s caller.Stream, done *sync.WaitGroup) {
-	defer done.Done()
+func (r *demoRun) runStream(ctx context.Context, s caller.Stream, wg *sync.WaitGroup) {
+	defer wg.Done()
 	r.load.Run(ctx, s)
 }
 
@@ -148,16 +148,16 @@
 		return err
 	}
 	p := r.deployment.drainDomain.String()
-	took, err := r.fleet.operator().set(ctx, resolver.Edit{Path: p, Key: resolver.KeyDrain, Unset: true})
+	elapsed, err := r.fleet.operator().set(ctx, resolver.Edit{Path: p, Key: resolver.KeyDrain, Unset: true})
 	if err != nil {
 		return err
 	}
-	r.logf("undrain %s: in force on all after %d ms", p, took.Milliseconds())
+	r.logf("undrain %s: in force on all daemons after %d ms", p, elapsed.Milliseconds())
 	return nil
 }
 
-func (r *demoRun) waitUntil(ctx context.Context, part float64) error {
-	due := r.began.Add(time.Duration(part * float64(r.options.Length)))
+func (r *demoRun) waitUntil(ctx context.Context, fraction float64) error {
+	due := r.began.Add(time.Duration(fraction * float64(r.options.Length)))
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -172,7 +172,7 @@
 	service := r.deployment.services[0].name
 	path := resolver.Path{Region: r.deployment.shiftFrom, Service: service}.String()
 	perMinute := shiftShare / (shiftFraction * r.options.Length.Minutes())
-	took, err := r.fleet.operator().set(ctx,
+	elapsed, err := r.fleet.operator().set(ctx,
 		resolver.Edit{Path: path, Key: resolver.KeyShiftTo, Value: resolver.Value(r.deployment.shiftTo)},
 		resolver.Edit{Path: path, Key: resolver.KeyShiftShare, Value: resolver.Value(fmt.Sprintf("%g%%", 100*shiftShare))},
 		resolver.Edit{Path: path, Key: resolver.KeyShiftCap, Value: resolver.Value(fmt.Sprintf("%.4g%%/min", 100*perMinute))},
@@ -180,8 +180,8 @@
 	if err != nil {
 		return err
 	}
-	r.logf("shift %s %s → %s %.0f%% at most %.0f%%/min: in force on all after %d ms",
-		service, r.deployment.shiftFrom, r.deployment.shiftTo, 100*shiftShare, 100*perMinute, took.Milliseconds())
+	r.logf("shift %s %s → %s %.0f%% at most %.0f%%/min: in force on all daemons after %d ms",
+		service, r.deployment.shiftFrom, r.deployment.shiftTo, 100*shiftShare, 100*perMinute, elapsed.Milliseconds())
 	r.report.ShiftCapPerMinute = perMinute
 	go r.runShiftWatch(ctx)
 	return nil
@@ -193,12 +193,12 @@
 	for ctx.Err() == nil {
 		s := r.fleet.daemons[0].Status(ctx)
 		if len(s.Shifts) > 0 {
-			have := s.Shifts[0].Have
+			moved := s.Shifts[0].Have
 			r.lock.Lock()
-			r.report.recordShift(s.PlanMillis, have)
+			r.report.recordShift(s.PlanMillis, moved)
 			r.lock.Unlock()
-			if have >= shiftShare-0.001 {
-				r.logf("shift done after %.1f s", time.Since(began).Seconds())
+			if moved >= shiftShare-0.001 {
+				r.logf("shift complete after %.1f s", time.Since(began).Seconds())
 				return
 			}
 		}
@@ -211,11 +211,11 @@
 func (r *demoRun) drainDomain(ctx context.Context) error {
 	p := r.deployment.drainDomain
 	began := time.Now()
-	took, err := r.fleet.operator().set(ctx, resolver.Edit{Path: p.String(), Key: resolver.KeyDrain, Value: "true"})
+	elapsed, err := r.fleet.operator().set(ctx, resolver.Edit{Path: p.String(), Key: resolver.KeyDrain, Value: "true"})
 	if err != nil {
 		return err
 	}
-	r.logf("drain %s: in force on all after %d ms", p, took.Milliseconds())
+	r.logf("drain %s: in force on all daemons after %d ms", p, elapsed.Milliseconds())
 	// The domain counts as empty once no request has run for a second, because
 	// late callers may still arrive.
 	const quiet = time.Second
@@ -226,12 +226,12 @@
 		}
 		if err := ctx.Err(); err != nil {
 			s := r.fleet.daemons[0].Status(context.Background())
-			return fmt.Errorf("drain of %s did not end, %d requests run there, the plan waits for %v", p,
+			return fmt.Errorf("drain of %s did not complete: %d requests still running, plan waits for %v", p,
 				r.fleet.busyAt(resolver.SiteOf(p)), s.Holds)
 		}
 		time.Sleep(pollInterval)
 	}
 	r.report.Drain = last.Sub(began)
-	r.logf("drain done: nothing runs there after %.1f s", r.report.Drain.Seconds())
+	r.logf("drain complete: no requests running after %.1f s", r.report.Drain.Seconds())
 	return nil
 }
--- a/internal/standin/demonstrator/fleet.go
+++ b/internal/standin/demonstrator/fleet.go
@@ -259,21 +259,21 @@
 		if err != nil || s.InForce != len(f.daemons) || s.Plan == 0 || s.Blocks == 0 {
 			return false
 		}
-		have := 0
+		owned := 0
 		for _, r := range s.Regions {
 			for _, v := range r.Services {
-				have += int(v.Slots)
+				owned += int(v.Slots)
 			}
 		}
-		return have == total
+		return owned == total
 	})
 }
 
-func (f *fleet) await(ctx context.Context, what string, done func() bool) error {
-	end := time.Now().Add(readyTimeout)
-	for !done() {
-		if time.Now().After(end) {
-			return fmt.Errorf("not ready after %s: %s", readyTimeout, what)
+func (f *fleet) await(ctx context.Context, description string, condition func() bool) error {
+	deadline := time.Now().Add(readyTimeout)
+	for !condition() {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("not ready after %s: %s", readyTimeout, description)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/standin/demonstrator/operator.go
+++ b/internal/standin/demonstrator/operator.go
@@ -23,53 +23,53 @@
 	return operatorClient{address: f.daemons[0].Self().Operators}
 }
 
-func (p operatorClient) call(ctx context.Context, method, path string, body, answer any) error {
+func (c operatorClient) call(ctx context.Context, method, path string, body, response any) error {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+p.address+path, bytes.NewReader(b))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.address+path, bytes.NewReader(b))
 	if err != nil {
 		return err
 	}
-	q.Header.Set("Authorization", "Bearer "+demoToken)
-	r, err := http.DefaultClient.Do(q)
+	req.Header.Set("Authorization", "Bearer "+demoToken)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return err
 	}
-	defer r.Body.Close()
-	data, err := io.ReadAll(r.Body)
+	defer resp.Body.Close()
+	data, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return err
 	}
-	if r.StatusCode != http.StatusOK {
+	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s: %s", path, bytes.TrimSpace(data))
 	}
-	return json.Unmarshal(data, answer)
+	return json.Unmarshal(data, response)
 }
 
-func (p operatorClient) status(ctx context.Context) (operator.Status, error) {
+func (c operatorClient) status(ctx context.Context) (operator.Status, error) {
 	var s operator.Status
-	return s, p.call(ctx, http.MethodGet, operator.PathStatus, nil, &s)
+	return s, c.call(ctx, http.MethodGet, operator.PathStatus, nil, &s)
 }
 
-func (p operatorClient) change(ctx context.Context, q operator.ChangeRequest) (recorder.Number, error) {
+func (c operatorClient) change(ctx context.Context, req operator.ChangeRequest) (recorder.Number, error) {
 	var a operator.ChangeAnswer
-	return a.Number, p.call(ctx, http.MethodPost, operator.PathChange, q, &a)
+	return a.Number, c.call(ctx, http.MethodPost, operator.PathChange, req, &a)
 }
 
 // set changes settings and returns the time until they were in force on all
 // daemons.
-func (p operatorClient) set(ctx context.Context, edits ...resolver.Edit) (time.Duration, error) {
+func (c operatorClient) set(ctx context.Context, edits ...resolver.Edit) (time.Duration, error) {
 	began := time.Now()
-	n, err := p.change(ctx, operator.ChangeRequest{Edits: edits})
+	number, err := c.change(ctx, operator.ChangeRequest{Edits: edits})
 	if err != nil {
 		return 0, err
 	}
 	for {
 		var a operator.InForceAnswer
-		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, n)
-		if err := p.call(ctx, http.MethodGet, path, nil, &a); err != nil {
+		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, number)
+		if err := c.call(ctx, http.MethodGet, path, nil, &a); err != nil {
 			return 0, err
 		}
 		if a.InForce == a.Members {
--- a/internal/standin/demonstrator/report.go
+++ b/internal/standin/demonstrator/report.go
@@ -114,15 +114,15 @@
 // at least 2 s. The first step may include an initial burst that the planner
 // allows, so spans start at the sample before it.
 func (r *Report) maxShiftRate() float64 {
-	var most float64
+	var highest float64
 	for i, a := range r.shiftSamples {
 		for _, b := range r.shiftSamples[i+1:] {
 			if span := b.at - a.at; span >= 2*timekeeper.Second {
-				most = max(most, (b.moved-a.moved)/span.Duration().Minutes())
+				highest = max(highest, (b.moved-a.moved)/span.Duration().Minutes())
 			}
 		}
 	}
-	return most
+	return highest
 }
 
 func newUsage(f *fleet) *usage {
@@ -151,23 +151,23 @@
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	for region, slots := range u.slots {
-		part := float64(busy[region]) / float64(slots)
-		u.peak[region] = max(u.peak[region], part)
-		points := append(u.recent[region], usageSample{now, part})
-		for now.Sub(points[0].at) > usageWindow {
-			points = points[1:]
+		fraction := float64(busy[region]) / float64(slots)
+		u.peak[region] = max(u.peak[region], fraction)
+		samples := append(u.recent[region], usageSample{now, fraction})
+		for now.Sub(samples[0].at) > usageWindow {
+			samples = samples[1:]
 		}
-		u.recent[region] = points
-		u.mean[region] = max(u.mean[region], meanOf(points))
+		u.recent[region] = samples
+		u.mean[region] = max(u.mean[region], meanOf(samples))
 	}
 }
 
-func meanOf(points []usageSample) float64 {
+func meanOf(samples []usageSample) float64 {
 	var sum float64
-	for _, p := range points {
+	for _, p := range samples {
 		sum += p.fraction
 	}
-	return sum / float64(len(points))
+	return sum / float64(len(samples))
 }
 
 // busyAt returns the number of requests that run at a site.
@@ -234,9 +234,9 @@
 	}
 	fmt.Fprintln(w)
 	for _, u := range r.Use {
-		fmt.Fprintf(w, "highest use of slots in %s: %.0f%% over a second, %.0f%% at a moment\n", u.Region, 100*u.Mean, 100*u.Moment)
+		fmt.Fprintf(w, "peak slot usage in %s: %.0f%% over one second, %.0f%% momentary\n", u.Region, 100*u.Mean, 100*u.Moment)
 	}
-	fmt.Fprintf(w, "shift: %.1f%% moved, at most %.1f%%/min of the %.1f%%/min allowed\n",
+	fmt.Fprintf(w, "shift: %.1f%% moved, peak rate %.1f%%/min, cap %.1f%%/min\n",
 		100*r.ShiftMoved, 100*r.ShiftFastest, 100*r.ShiftCapPerMinute)
 	fmt.Fprintf(w, "drain: %.1f s\n", r.Drain.Seconds())
 	v := r.Verdict
--- a/internal/standin/payload/stream.go
+++ b/internal/standin/payload/stream.go
@@ -50,19 +50,19 @@
 // bytes that matched.
 func Verify(r io.Reader, want *Stream) (int64, error) {
 	var total int64
-	got := make([]byte, 32<<10)
-	due := make([]byte, len(got))
+	received := make([]byte, 32<<10)
+	expected := make([]byte, len(received))
 	for {
-		n, err := r.Read(got)
+		n, err := r.Read(received)
 		if n > 0 {
-			if m, _ := io.ReadFull(want, due[:n]); m < n || !bytes.Equal(got[:n], due[:n]) {
-				return total, eris.Errorf("wrong byte behind %d", total)
+			if m, _ := io.ReadFull(want, expected[:n]); m < n || !bytes.Equal(received[:n], expected[:n]) {
+				return total, eris.Errorf("response content differs after byte %d", total)
 			}
 			total += int64(n)
 		}
 		if err == io.EOF {
 			if want.remaining > 0 {
-				return total, eris.Errorf("%d bytes short", want.remaining)
+				return total, eris.Errorf("response is %d bytes too short", want.remaining)
 			}
 			return total, nil
 		}
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -76,7 +76,7 @@
 		return
 	}
 	if s.Token != "" && r.Header.Get("Authorization") != "Bearer "+s.Token {
-		http.Error(w, "unknown token", http.StatusUnauthorized)
+		http.Error(w, "invalid token", http.StatusUnauthorized)
 		return
 	}
 	if !s.admit(w, r) {
@@ -115,7 +115,7 @@
 		}
 	}
 	if f.Down {
-		http.Error(w, "out of service", http.StatusServiceUnavailable)
+		http.Error(w, "service unavailable", http.StatusServiceUnavailable)
 		return false
 	}
 	return true
@@ -158,14 +158,14 @@
 	}
 	c, ok := parseCondition(r)
 	if !ok {
-		http.Error(w, "a write needs If-Match or If-None-Match", http.StatusBadRequest)
+		http.Error(w, "a write requires If-Match or If-None-Match", http.StatusBadRequest)
 		return
 	}
-	revision, done := s.applyWrite(r.Method, name, body, c)
+	revision, written := s.applyWrite(r.Method, name, body, c)
 	if s.dropResponse(name) {
 		panic(http.ErrAbortHandler)
 	}
-	if !done {
+	if !written {
 		http.Error(w, "another revision", http.StatusPreconditionFailed)
 		return
 	}
@@ -211,11 +211,11 @@
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	since, _ := strconv.ParseUint(q.Get("Since"), 10, 64)
-	wait, _ := strconv.ParseInt(q.Get("WaitMillis"), 10, 64)
+	waitMillis, _ := strconv.ParseInt(q.Get("WaitMillis"), 10, 64)
 	s.addWaiting(1)
 	defer s.addWaiting(-1)
-	end := time.NewTimer(timekeeper.Millis(wait).Duration())
-	defer end.Stop()
+	timeout := time.NewTimer(timekeeper.Millis(waitMillis).Duration())
+	defer timeout.Stop()
 	for {
 		b, changed := s.Store.since(q["Prefix"], storer.Revision(since))
 		if len(b.Objects) > 0 {
@@ -224,7 +224,7 @@
 		}
 		select {
 		case <-changed:
-		case <-end.C:
+		case <-timeout.C:
 			writeJSON(w, b)
 			return
 		case <-r.Context().Done():
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -200,8 +200,8 @@
 		return
 	}
 	var once sync.Once
-	free := func() { once.Do(func() { s.busy.Add(-1) }) }
-	defer free()
+	release := func() { once.Do(func() { s.busy.Add(-1) }) }
+	defer release()
 	s.updatePeak()
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
@@ -214,7 +214,7 @@
 	if !s.simulateWork(r) {
 		return
 	}
-	s.writeResponse(w, r, token, body, free)
+	s.writeResponse(w, r, token, body, release)
 }
 
 func (s *Server) updatePeak() {
@@ -253,15 +253,15 @@
 	if s.random == nil {
 		s.random = rand.New(rand.NewPCG(s.Seed, s.Seed))
 	}
-	x := min(s.random.ExpFloat64(), maxServiceMultiple)
+	factor := min(s.random.ExpFloat64(), maxServiceMultiple)
 	s.lock.Unlock()
 	if s.served.Load() <= s.ColdRequests {
-		x *= 2
+		factor *= 2
 	}
-	return time.Duration(x * s.ServiceMillis * float64(time.Millisecond))
+	return time.Duration(factor * s.ServiceMillis * float64(time.Millisecond))
 }
 
-func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, token string, body []byte, free func()) {
+func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, token string, body []byte, release func()) {
 	length := s.Bytes
 	if n, err := strconv.ParseInt(r.URL.Query().Get(payload.ParamBytes), 10, 64); err == nil {
 		length = n
@@ -270,20 +270,20 @@
 	w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	w.Header().Set("Content-Type", "application/octet-stream")
 	stream := payload.New(token, body, length)
-	piece := make([]byte, min(chunkBytes, max(length, 1)))
+	chunk := make([]byte, min(chunkBytes, max(length, 1)))
 	began := time.Now()
 	var sent int64
 	for {
-		n, err := stream.Read(piece)
+		n, err := stream.Read(chunk)
 		if err != nil {
 			return
 		}
 		sent += int64(n)
 		if sent == length {
 			// The slot must be free before the caller sees the end of the response.
-			free()
+			release()
 		}
-		if _, err := w.Write(piece[:n]); err != nil {
+		if _, err := w.Write(chunk[:n]); err != nil {
 			return
 		}
 		if s.Pace > 0 {
--- a/internal/standin/signer/authority.go
+++ b/internal/standin/signer/authority.go
@@ -47,13 +47,13 @@
 		Key:         filepath.Join(dir, "link.key"),
 		Authority:   filepath.Join(dir, "authority.pem"),
 	}
-	var pool []byte
-	for _, x := range trust {
-		pool = append(pool, encodePEM("CERTIFICATE", x.cert.Raw)...)
+	var trusted []byte
+	for _, authority := range trust {
+		trusted = append(trusted, encodePEM("CERTIFICATE", authority.cert.Raw)...)
 	}
 	writeFile(f.Certificate, encodePEM("CERTIFICATE", a.sign(a.cert, &key.PublicKey, until).Raw))
 	writeFile(f.Key, encodePEM("PRIVATE KEY", der))
-	writeFile(f.Authority, pool)
+	writeFile(f.Authority, trusted)
 	return f
 }
 
@@ -80,12 +80,12 @@
 	return must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
 }
 
-func encodePEM(kind string, der []byte) []byte {
-	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
+func encodePEM(blockType string, der []byte) []byte {
+	return pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
 }
 
-func writeFile(name string, text []byte) {
-	if err := os.WriteFile(name, text, fileMode); err != nil {
+func writeFile(name string, data []byte) {
+	if err := os.WriteFile(name, data, fileMode); err != nil {
 		panic("signer: " + err.Error())
 	}
 }
