--- a/internal/standin/demonstrator/demo.go
+++ b/internal/standin/demonstrator/demo.go
@@ -19,7 +19,7 @@
 
 	shiftShare = 0.2
 
-	// Start times of the operations, as fractions of the length of the run.
+	// Start times of the operator changes, as fractions of the length of the run.
 	shiftAt   = 0.10
 	drainAt   = 0.45
 	undrainAt = 0.80
@@ -59,22 +59,22 @@
 
 // Run runs a demo and returns its report.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	s, err := deploymentByName(o.Shape)
+	d, err := deploymentByName(o.Shape)
 	if err != nil {
 		return nil, err
 	}
-	f, err := startFleet(ctx, s)
+	f, err := startFleet(ctx, d)
 	defer f.stop()
 	if err != nil {
 		return nil, err
 	}
-	r := &demoRun{options: o, deployment: s, fleet: f, load: &caller.Load{}, usage: newUsage(f)}
+	r := &demoRun{options: o, deployment: d, fleet: f, load: &caller.Load{}, usage: newUsage(f)}
 	r.began = time.Now()
-	r.logf("%s: %d daemons, %d upstreams, load %.0f%% of slots", s.name, len(f.daemons), len(f.servers), 100*o.Load)
+	r.logf("%s: %d daemons, %d upstreams, load %.0f%% of slots", d.name, len(f.daemons), len(f.servers), 100*o.Load)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go r.usage.loop(ctx)
-	if err := r.runLoad(ctx); err != nil {
+	if err := r.generateLoad(ctx); err != nil {
 		return nil, err
 	}
 	r.load.Wait()
@@ -87,17 +87,17 @@
 	fmt.Fprintf(r.options.Out, "%5.1fs  %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// runLoad runs the load and, at the same time, the operations.
-func (r *demoRun) runLoad(ctx context.Context) error {
+// generateLoad runs the load and, concurrently, the operator changes.
+func (r *demoRun) generateLoad(ctx context.Context) error {
 	loadCtx, cancel := context.WithTimeout(ctx, r.options.Length)
 	defer cancel()
-	var wg sync.WaitGroup
+	var streams sync.WaitGroup
 	for _, s := range r.streams() {
-		wg.Add(1)
-		go r.runStream(loadCtx, s, &wg)
+		streams.Add(1)
+		go r.runStream(loadCtx, s, &streams)
 	}
 	err := r.operate(loadCtx)
-	wg.Wait()
+	streams.Wait()
 	return err
 }
 
--- a/internal/standin/demonstrator/shape.go
+++ b/internal/standin/demonstrator/deployment.go
@@ -129,28 +129,28 @@
 }
 
 // delay returns the one-way delay between two sites.
-func (s deployment) delay(a, b registrar.Site) time.Duration {
+func (d deployment) delay(a, b registrar.Site) time.Duration {
 	switch {
 	case a == b:
 		return 0
 	case a.Region() == b.Region():
-		return s.domainDelay
+		return d.domainDelay
 	}
 	return regionDelay
 }
 
 // clientDelayTo returns the one-way delay between the callers of a region and a site.
-func (s deployment) clientDelayTo(region string, site registrar.Site) time.Duration {
+func (d deployment) clientDelayTo(region string, site registrar.Site) time.Duration {
 	if site.Region() == region {
 		return clientDelay
 	}
 	return clientDelay + regionDelay
 }
 
-func (s deployment) sites() []registrar.Site {
+func (d deployment) sites() []registrar.Site {
 	var out []registrar.Site
-	for _, d := range s.daemons {
-		out = append(out, d.site)
+	for _, group := range d.daemons {
+		out = append(out, group.site)
 	}
 	return out
 }
--- a/internal/standin/demonstrator/fleet.go
+++ b/internal/standin/demonstrator/fleet.go
@@ -61,9 +61,9 @@
 )
 
 // startFleet starts all processes and waits until the settings are in force.
-func startFleet(ctx context.Context, s deployment) (*fleet, error) {
+func startFleet(ctx context.Context, d deployment) (*fleet, error) {
 	f := &fleet{
-		deployment: s,
+		deployment: d,
 		log:        logger.New(io.Discard, logrus.ErrorLevel),
 		platform:   &platform.Server{},
 		sites:      map[string]registrar.Site{},
@@ -79,7 +79,7 @@
 	if err := f.saveBlocks(ctx); err != nil {
 		return f, err
 	}
-	for _, c := range s.daemons {
+	for _, c := range d.daemons {
 		for n := range c.count {
 			if err := f.startDaemon(c.site, n); err != nil {
 				return f, err
--- a/test/deadly_test.go
+++ b/test/deadly_test.go
@@ -41,65 +41,65 @@
 	}
 )
 
-func startCrashingUpstreams(t *testing.T, count int) (m *crashingUpstreams, addresses []string) {
-	m = &crashingUpstreams{t: t, live: map[string]*httptest.Server{}}
-	t.Cleanup(m.close)
+func startCrashingUpstreams(t *testing.T, count int) (u *crashingUpstreams, addresses []string) {
+	u = &crashingUpstreams{t: t, live: map[string]*httptest.Server{}}
+	t.Cleanup(u.close)
 	for range count {
-		addresses = append(addresses, m.launch("127.0.0.1:0"))
+		addresses = append(addresses, u.launch("127.0.0.1:0"))
 	}
-	return m, addresses
+	return u, addresses
 }
 
 // launch starts an upstream at the address and returns the address it listens on.
-func (m *crashingUpstreams) launch(address string) string {
-	m.lock.Lock()
-	defer m.lock.Unlock()
-	if m.closed {
+func (u *crashingUpstreams) launch(address string) string {
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	if u.closed {
 		return address
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		m.t.Errorf("upstream %s did not restart: %v", address, err)
+		u.t.Errorf("upstream %s did not restart: %v", address, err)
 		return address
 	}
 	address = l.Addr().String()
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/deadly") {
-			m.crash(address)
+			u.crash(address)
 		}
 		fmt.Fprintln(w, "answer")
 	}))
 	s.Listener.Close()
 	s.Listener = l
 	s.Start()
-	m.live[address] = s
+	u.live[address] = s
 	return address
 }
 
 // crash stops an upstream crashDelay after a deadly request reached it.
-func (m *crashingUpstreams) crash(address string) {
-	m.lock.Lock()
-	s := m.live[address]
-	m.arrivals = append(m.arrivals, time.Now())
-	m.lock.Unlock()
+func (u *crashingUpstreams) crash(address string) {
+	u.lock.Lock()
+	s := u.live[address]
+	u.arrivals = append(u.arrivals, time.Now())
+	u.lock.Unlock()
 	time.Sleep(crashDelay)
-	m.lock.Lock()
-	defer m.lock.Unlock()
-	if s != nil && m.live[address] == s {
-		delete(m.live, address)
-		m.crashes = append(m.crashes, time.Now())
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	if s != nil && u.live[address] == s {
+		delete(u.live, address)
+		u.crashes = append(u.crashes, time.Now())
 		s.Listener.Close()
 		s.CloseClientConnections()
-		time.AfterFunc(restartDelay, func() { m.launch(address) })
+		time.AfterFunc(restartDelay, func() { u.launch(address) })
 	}
 	panic(http.ErrAbortHandler)
 }
 
-func (m *crashingUpstreams) close() {
-	m.lock.Lock()
-	defer m.lock.Unlock()
-	m.closed = true
-	for _, s := range m.live {
+func (u *crashingUpstreams) close() {
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	u.closed = true
+	for _, s := range u.live {
 		s.Listener.Close()
 		s.CloseClientConnections()
 	}
@@ -107,15 +107,15 @@
 
 // lateArrivals returns how often the request reached upstreams after all daemons had to know
 // about it, and the total number of crashes.
-func (m *crashingUpstreams) lateArrivals() (arrivals, crashes int) {
-	m.lock.Lock()
-	defer m.lock.Unlock()
-	if len(m.crashes) < maxLateArrivals {
-		return 0, len(m.crashes)
+func (u *crashingUpstreams) lateArrivals() (arrivals, crashes int) {
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	if len(u.crashes) < maxLateArrivals {
+		return 0, len(u.crashes)
 	}
-	known := m.crashes[2].Add(propagationTime)
-	lateArrivals := slices.DeleteFunc(slices.Clone(m.arrivals), func(t time.Time) bool { return t.Before(known) })
-	return len(lateArrivals), len(m.crashes)
+	known := u.crashes[2].Add(propagationTime)
+	lateArrivals := slices.DeleteFunc(slices.Clone(u.arrivals), func(t time.Time) bool { return t.Before(known) })
+	return len(lateArrivals), len(u.crashes)
 }
 
 // sendRepeatedly sends a request to the daemons in turn for the given time and returns the
@@ -147,7 +147,7 @@
 // startCrashingFleet starts two daemons in each of two regions and four crashing upstreams per region.
 func startCrashingFleet(t *testing.T) (*crashingUpstreams, []*daemon) {
 	address := startPlatform(t)
-	m, upstreams := startCrashingUpstreams(t, 8)
+	u, upstreams := startCrashingUpstreams(t, 8)
 	var daemons []*daemon
 	for i, region := range []string{"erie", "michigan", "erie", "michigan"} {
 		daemons = append(daemons, startDaemon(t, daemonOptions{name: fmt.Sprint(region, "-", i), region: region, domain: "a", platform: address}))
@@ -160,7 +160,7 @@
 Upstreams = [%s]
 `, quoteList(upstreams[:4]), quoteList(upstreams[4:])))
 	eventually(t, "all slots are owned", func() bool { return totalSlots(daemons...) == 48 })
-	return m, daemons
+	return u, daemons
 }
 
 // TestDeadlyRequestIsStoppedAtOwners guards against a request that crashes one upstream after
@@ -176,9 +176,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			m, daemons := startCrashingFleet(t)
+			u, daemons := startCrashingFleet(t)
 			outcomes := sendRepeatedly(c.method, "/deadly", c.body, 8*time.Second, daemons...)
-			lateArrivals, crashes := m.lateArrivals()
+			lateArrivals, crashes := u.lateArrivals()
 			t.Log(crashes, "upstream crashes; outcomes:", outcomes)
 			is.True(crashes >= maxLateArrivals)
 			is.True(lateArrivals <= maxLateArrivals) // forwarded although all daemons had to know about it
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -233,11 +233,10 @@
 	load.waitProgress()
 
 	setFaults(t, address, platform.Faults{Down: true})
-	// Longer than any lease or membership is valid.
 	eventually(t, "the outage is noticed", func() bool {
 		return !all[0].status().Platform
 	})
-	time.Sleep(12 * time.Second) // keeps the outage going; waits for no condition
+	time.Sleep(12 * time.Second) // longer than any lease or membership is valid; waits for no condition
 	load.waitProgress()
 	is.Equal(totalSlots(all...), 12.0)
 
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -185,7 +185,7 @@
 	return found
 }
 
-// eventually polls until done returns true and fails the test after waitTimeout.
+// eventually polls until condition returns true and fails the test after waitTimeout.
 func eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
--- a/test/loss_scenarios_test.go
+++ b/test/loss_scenarios_test.go
@@ -21,25 +21,25 @@
 }
 
 var lossScenarios = []lossScenario{
-	{"UpstreamThenDaemon", func(_ *testing.T, p *failureDomain) { p.fail() }},
-	{"DaemonThenUpstream", func(_ *testing.T, p *failureDomain) {
-		p.daemon.kill()
-		p.failUpstream()
+	{"UpstreamThenDaemon", func(_ *testing.T, d *failureDomain) { d.fail() }},
+	{"DaemonThenUpstream", func(_ *testing.T, d *failureDomain) {
+		d.daemon.kill()
+		d.failUpstream()
 	}},
-	{"DaemonOnly", func(_ *testing.T, p *failureDomain) { p.daemon.kill() }},
-	{"ResetsThenDaemon", func(t *testing.T, p *failureDomain) {
+	{"DaemonOnly", func(_ *testing.T, d *failureDomain) { d.daemon.kill() }},
+	{"ResetsThenDaemon", func(t *testing.T, d *failureDomain) {
 		for range 3 {
-			p.http.CloseClientConnections()
-			waitDomainsServed(t, []*failureDomain{p})
+			d.http.CloseClientConnections()
+			waitDomainsServed(t, []*failureDomain{d})
 		}
-		p.daemon.kill()
+		d.daemon.kill()
 	}},
-	{"SilenceThenDaemon", func(t *testing.T, p *failureDomain) {
-		p.daemon.signal(syscall.SIGSTOP)
-		before := p.load.Running()
-		eventually(t, "requests wait for the suspended daemon", func() bool { return p.load.Running() > before+scenarioPending })
-		p.daemon.kill()
-		p.failUpstream()
+	{"SilenceThenDaemon", func(t *testing.T, d *failureDomain) {
+		d.daemon.signal(syscall.SIGSTOP)
+		before := d.load.Running()
+		eventually(t, "requests wait for the suspended daemon", func() bool { return d.load.Running() > before+scenarioPending })
+		d.daemon.kill()
+		d.failUpstream()
 	}},
 }
 
@@ -53,8 +53,8 @@
 			domains := startDomainsWithServiceTime(t, scenarioSlots, scenarioServiceMillis, "erie/a", "erie/b", "michigan/a", "superior/a")
 			stop := startCallersWithPosts(t, scenarioRate, 1, domains)
 			waitDomainsServed(t, domains)
-			for _, p := range domains[:2] {
-				m.fail(t, p)
+			for _, d := range domains[:2] {
+				m.fail(t, d)
 				waitDomainsServed(t, domains)
 			}
 			stop()
@@ -67,16 +67,16 @@
 func verifyDomains(t *testing.T, domains []*failureDomain) {
 	t.Helper()
 	var journals []map[string]int
-	for _, p := range domains {
-		p.load.Wait()
+	for _, d := range domains {
+		d.load.Wait()
 	}
-	for _, p := range domains {
-		journals = append(journals, p.server.Counts().Journal)
+	for _, d := range domains {
+		journals = append(journals, d.server.Counts().Journal)
 	}
-	for _, p := range domains {
-		a := p.account()
-		t.Logf("%s/%s: %d requests, %d answered, %d not run, %d unknown %v", p.region, p.domain, a.Requests, a.Answered, a.NotRun, a.Unknown, a.Reasons)
-		if v := p.load.CheckJournals(journals); v.Violated() {
+	for _, d := range domains {
+		a := d.account()
+		t.Logf("%s/%s: %d requests, %d answered, %d not run, %d unknown %v", d.region, d.domain, a.Requests, a.Answered, a.NotRun, a.Unknown, a.Reasons)
+		if v := d.load.CheckJournals(journals); v.Violated() {
 			t.Errorf("guarantees violated: %+v", v)
 		}
 	}
--- a/test/loss_test.go
+++ b/test/loss_test.go
@@ -28,14 +28,14 @@
 }
 
 // fail stops the upstream and the daemon of the domain.
-func (p *failureDomain) fail() {
-	p.failUpstream()
-	p.daemon.kill()
+func (d *failureDomain) fail() {
+	d.failUpstream()
+	d.daemon.kill()
 }
 
-func (p *failureDomain) failUpstream() {
-	p.http.Listener.Close()
-	p.http.CloseClientConnections()
+func (d *failureDomain) failUpstream() {
+	d.http.Listener.Close()
+	d.http.CloseClientConnections()
 }
 
 // startDomains starts failure domains, each with its own block of callers.
@@ -53,12 +53,12 @@
 	for i, n := range names {
 		region, domain, _ := strings.Cut(n, "/")
 		upstream := &server.Server{Slots: slots, ServiceMillis: serviceMillis}
-		p := &failureDomain{region: region, domain: domain, block: fmt.Sprintf("10.%d.0.1", i), server: upstream, http: httptest.NewServer(upstream), load: &caller.Load{}}
-		t.Cleanup(p.http.Close)
-		p.daemon = startDaemon(t, daemonOptions{name: region + "-" + domain, region: region, domain: domain, platform: address})
-		fmt.Fprintf(&settings, "[Region.%s.Domain.%s.Service.keg-ledger]\nUpstreams = [%q]\nSlots = %d\n", region, domain, p.http.Listener.Addr(), slots)
+		d := &failureDomain{region: region, domain: domain, block: fmt.Sprintf("10.%d.0.1", i), server: upstream, http: httptest.NewServer(upstream), load: &caller.Load{}}
+		t.Cleanup(d.http.Close)
+		d.daemon = startDaemon(t, daemonOptions{name: region + "-" + domain, region: region, domain: domain, platform: address})
+		fmt.Fprintf(&settings, "[Region.%s.Domain.%s.Service.keg-ledger]\nUpstreams = [%q]\nSlots = %d\n", region, domain, d.http.Listener.Addr(), slots)
 		fmt.Fprintf(&blocks, "10.%d.0.0/16 %s\n", i, n)
-		domains = append(domains, p)
+		domains = append(domains, d)
 	}
 	first := domains[0].daemon
 	first.waitReady()
@@ -78,11 +78,11 @@
 	first.applySettings(len(domains), "BlockTable = \"places\"\n"+settings.String())
 	eventually(t, "all slots are owned and all blocks known", func() bool {
 		owned := 0.0
-		for _, p := range domains {
-			if p.daemon.status().Blocks != len(domains) {
+		for _, d := range domains {
+			if d.daemon.status().Blocks != len(domains) {
 				return false
 			}
-			owned += totalSlots(p.daemon)
+			owned += totalSlots(d.daemon)
 		}
 		return owned == float64(len(domains)*slots)
 	})
@@ -100,8 +100,8 @@
 func startCallersWithPosts(t *testing.T, rate, postFraction float64, domains []*failureDomain) (stop func()) {
 	t.Helper()
 	var seeds []string
-	for _, p := range domains {
-		seeds = append(seeds, p.daemon.callers)
+	for _, d := range domains {
+		seeds = append(seeds, d.daemon.callers)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -110,19 +110,19 @@
 		running.Wait()
 	}
 	t.Cleanup(stop)
-	for i, p := range domains {
+	for i, d := range domains {
 		f := &finder.Finder{Seeds: seeds, HTTP: caller.NewClient(nil)}
 		s := caller.Stream{
 			Class: "short", Service: "keg-ledger", Rate: rate, PostPart: postFraction, Bytes: 500, Deadline: 5000,
-			Blocks: []string{p.block}, Finder: func(string) *finder.Finder { return f }, Seed: uint64(i),
+			Blocks: []string{d.block}, Finder: func(string) *finder.Finder { return f }, Seed: uint64(i),
 		}
-		running.Go(func() { p.load.Run(ctx, s) })
+		running.Go(func() { d.load.Run(ctx, s) })
 	}
 	return stop
 }
 
-func (p *failureDomain) account() caller.Account {
-	for _, a := range p.load.Accounts() {
+func (d *failureDomain) account() caller.Account {
+	for _, a := range d.load.Accounts() {
 		return a
 	}
 	return caller.Account{}
@@ -131,16 +131,16 @@
 // waitDomainsServed waits until the callers of each domain had 50 more requests answered.
 func waitDomainsServed(t *testing.T, domains []*failureDomain) {
 	t.Helper()
-	for _, p := range domains {
-		before := p.account().Answered
-		eventually(t, p.region+"/"+p.domain+" is served", func() bool { return p.account().Answered > before+50 })
+	for _, d := range domains {
+		before := d.account().Answered
+		eventually(t, d.region+"/"+d.domain+" is served", func() bool { return d.account().Answered > before+50 })
 	}
 }
 
 // notRunTotal returns how many requests were refused as not run.
 func notRunTotal(domains []*failureDomain) (n uint64) {
-	for _, p := range domains {
-		n += p.account().NotRun
+	for _, d := range domains {
+		n += d.account().NotRun
 	}
 	return n
 }
@@ -168,18 +168,18 @@
 	stop()
 	// The journals are read when no request is in flight: a request that finished after the read would
 	// count as answered without having run.
-	for _, p := range domains {
-		p.load.Wait()
+	for _, d := range domains {
+		d.load.Wait()
 	}
 	var journals []map[string]int
-	for _, p := range domains {
-		journals = append(journals, p.server.Counts().Journal)
+	for _, d := range domains {
+		journals = append(journals, d.server.Counts().Journal)
 	}
-	for _, p := range domains {
-		a := p.account()
-		t.Logf("%s/%s: %d requests, %d answered, %d not run, %d unknown %v, p50 %d ms, p99 %d ms, max %d ms", p.region, p.domain,
+	for _, d := range domains {
+		a := d.account()
+		t.Logf("%s/%s: %d requests, %d answered, %d not run, %d unknown %v, p50 %d ms, p99 %d ms, max %d ms", d.region, d.domain,
 			a.Requests, a.Answered, a.NotRun, a.Unknown, a.Reasons, a.Latency.ValueAtQuantile(50)/1000, a.Latency.ValueAtQuantile(99)/1000, a.Latency.Max()/1000)
-		if v := p.load.CheckJournals(journals); v.Violated() {
+		if v := d.load.CheckJournals(journals); v.Violated() {
 			t.Errorf("guarantees violated: %+v", v)
 		}
 	}
