--- a/internal/standin/caller/load.go
+++ b/internal/standin/caller/load.go
@@ -19,95 +19,98 @@
 )
 
 const (
-	// histogram bounds, in microseconds, and its precision.
-	lowestMicros  = 1
-	highestMicros = 3600 * 1000 * 1000
-	digits        = 3
+	// Bounds of the latency histogram in microseconds, and its precision.
+	lowestMicros      = 1
+	highestMicros     = 3600 * 1000 * 1000
+	significantDigits = 3
 
-	bodyBytes = 256
+	postBodyBytes = 256
 
-	// maxComeBacks is how often a caller that was refused comes back.
-	maxComeBacks = 3
+	// maxRetries is how often a caller retries a request that was refused with a
+	// retry time.
+	maxRetries = 3
 )
 
 type (
-	// Stream is the requests of one kind.
+	// Stream describes the requests of one kind.
 	Stream struct {
-		// Class names it in reports.
+		// Class groups the requests in the accounts.
 		Class   string
 		Service string
-		// Rate is how many requests begin a second.
+		// Rate is the mean number of requests per second.
 		Rate float64
-		// PostPart is the part of them that must not run twice.
+		// PostPart is the fraction of POST requests, which must not run twice.
 		PostPart float64
-		// Bytes is the length of an answer.
+		// Bytes is the length of a response.
 		Bytes int64
-		// Deadline is how long callers wait, 0 for as long as the service
-		// allows.
+		// Deadline is how long callers wait; 0 means the limit of the service.
 		Deadline timekeeper.Millis
-		// Blocks are the client blocks that callers come from; one is drawn
-		// for each request.
+		// Blocks are the client blocks that callers belong to; each request uses
+		// one at random.
 		Blocks []string
-		// Finder returns the finder of a block.
+		// Finder returns the finder for the callers of a block.
 		Finder func(block string) *finder.Finder
 		Seed   uint64
 	}
 
-	// Load drives streams and keeps the accounts. The zero value is ready.
+	// Load sends the requests of streams and keeps the accounts. The zero value
+	// is ready to use.
 	Load struct {
-		// OnAnswer is told of every answer. Nil means nobody wants to know.
-		OnAnswer func(s *Stream, latency time.Duration, p finder.Response)
+		// OnResponse is called for every response. Nil means no callback.
+		OnResponse func(s *Stream, latency time.Duration, resp finder.Response)
 
-		lock    sync.Mutex
-		classes map[string]*Account
-		tokens  map[string]tokenState
-		active  sync.WaitGroup
-		running atomic.Int64
+		lock     sync.Mutex
+		accounts map[string]*Account
+		tokens   map[string]tokenState
+		active   sync.WaitGroup
+		running  atomic.Int64
 	}
 
-	// Account is what came of the requests of one class.
+	// Account counts the outcomes of the requests of one class.
 	Account struct {
 		Class    string
 		Requests uint64
 		Answered uint64
 		NotRun   uint64
 		Unknown  uint64
-		// Cut is answers that broke off; Wrong is answers with other bytes
-		// than are due.
+		// Cut counts truncated responses; Wrong counts responses with
+		// unexpected content.
 		Cut   uint64
 		Wrong uint64
-		// ComeBacks counts tries after a refusal that named a time.
-		ComeBacks uint64
-		Latency   *hdrhistogram.Histogram
-		// Reasons counts why requests were not answered.
+		// Retries counts attempts after a refusal that named a retry time.
+		Retries uint64
+		Latency *hdrhistogram.Histogram
+		// Reasons counts the requests that were not answered by outcome and
+		// reason, and the responses counted in Wrong by error.
 		Reasons map[string]uint64
 	}
 
-	// tokenState is what the caller of a token was told.
+	// tokenState is the outcome that the caller of a token saw.
 	tokenState struct {
 		post    bool
 		outcome finder.Outcome
 	}
 
-	// Verdict is what the journals say of the accounts.
+	// Verdict counts the contradictions between the accounts and the journals.
 	Verdict struct {
-		// Lost is requests answered to their callers that no upstream ran.
+		// Lost counts requests answered to their callers that no upstream ran.
 		Lost int
-		// Doubled is requests that must not run twice and did.
+		// Doubled counts POST requests that ran more than once.
 		Doubled int
-		// NotRunRan is requests refused as not run that an upstream ran.
+		// NotRunRan counts POST requests reported as not run that an upstream ran.
 		NotRunRan int
 		Cut       uint64
 		Wrong     uint64
 	}
 )
 
-// Broken tells whether any promise was broken.
-func (v Verdict) Broken() bool {
+// Violated reports whether any guarantee was violated.
+func (v Verdict) Violated() bool {
 	return v.Lost+v.Doubled+v.NotRunRan > 0 || v.Cut+v.Wrong > 0
 }
 
-// NewClient returns an HTTP client for many callers.
+// NewClient returns an HTTP client that many callers can share. A nil dial
+// means the default dialer.
 func NewClient(dial func(ctx context.Context, network, address string) (net.Conn, error)) *http.Client {
 	t := &http.Transport{
 		DialContext:         dial,
@@ -118,8 +121,8 @@
 	return &http.Client{Transport: t}
 }
 
-// Run begins requests of s at random times until ctx ends. Those under way go
-// on; Wait waits for them.
+// Run starts requests of s with exponentially distributed intervals until ctx is
+// done. Requests in flight continue; use Wait to wait for them.
 func (l *Load) Run(ctx context.Context, s Stream) {
 	if s.Rate <= 0 {
 		return
@@ -141,12 +144,12 @@
 	}
 }
 
-// Wait waits for the requests under way.
+// Wait waits until no request is in flight.
 func (l *Load) Wait() {
 	l.active.Wait()
 }
 
-// Running returns how many requests are under way.
+// Running returns the number of requests in flight.
 func (l *Load) Running() int64 {
 	return l.running.Load()
 }
@@ -155,28 +158,28 @@
 	defer l.active.Done()
 	defer l.running.Add(-1)
 	began := time.Now()
-	r := request(s, token, post, block)
+	r := newRequest(s, token, post, block)
 	f := s.Finder(block)
 	ctx := context.Background()
-	backs := 0
-	p, err := f.Send(ctx, r)
-	for err == nil && p.Outcome == finder.NotRun && p.RetryAfter > 0 && backs < maxComeBacks {
-		backs++
-		finder.Wait(ctx, p)
-		p, err = f.Send(ctx, r)
+	retries := 0
+	resp, err := f.Send(ctx, r)
+	for err == nil && resp.Outcome == finder.NotRun && resp.RetryAfter > 0 && retries < maxRetries {
+		retries++
+		finder.Wait(ctx, resp)
+		resp, err = f.Send(ctx, r)
 	}
 	if err != nil {
-		p.Outcome = finder.NotRun
+		resp.Outcome = finder.NotRun
 	}
-	broken := verify(p, token, r.Body, s.Bytes)
+	verifyErr := verifyResponse(resp, token, r.Body, s.Bytes)
 	latency := time.Since(began)
-	l.note(s, token, post, p, broken, latency, backs)
-	if l.OnAnswer != nil {
-		l.OnAnswer(s, latency, p)
+	l.record(s, token, post, resp, verifyErr, latency, retries)
+	if l.OnResponse != nil {
+		l.OnResponse(s, latency, resp)
 	}
 }
 
-func request(s *Stream, token string, post bool, block string) finder.Request {
+func newRequest(s *Stream, token string, post bool, block string) finder.Request {
 	r := finder.Request{
 		Service:  s.Service,
 		Block:    block,
@@ -186,42 +189,42 @@
 	}
 	if post {
 		r.Method = http.MethodPost
-		r.Body = make([]byte, bodyBytes)
+		r.Body = make([]byte, postBodyBytes)
 		copy(r.Body, token)
 	}
 	return r
 }
 
-// errCut marks an answer that broke off.
-var errCut = errors.New("cut")
+// errTruncated means that a response ended early.
+var errTruncated = errors.New("cut")
 
-func verify(p finder.Response, token string, body []byte, length int64) error {
-	if p.Body == nil {
+func verifyResponse(resp finder.Response, token string, body []byte, length int64) error {
+	if resp.Body == nil {
 		return nil
 	}
-	defer p.Body.Close()
-	if p.Status != http.StatusOK {
-		return fmt.Errorf("status %d", p.Status)
+	defer resp.Body.Close()
+	if resp.Status != http.StatusOK {
+		return fmt.Errorf("status %d", resp.Status)
 	}
-	_, err := payload.Verify(p.Body, payload.New(token, body, length))
-	var ne net.Error
-	if err != nil && (errors.As(err, &ne) || isCut(err)) {
-		return errCut
+	_, err := payload.Verify(resp.Body, payload.New(token, body, length))
+	var netErr net.Error
+	if err != nil && (errors.As(err, &netErr) || isTruncated(err)) {
+		return errTruncated
 	}
 	return err
 }
 
-func (l *Load) note(s *Stream, token string, post bool, p finder.Response, broken error, latency time.Duration, backs int) {
+func (l *Load) record(s *Stream, token string, post bool, resp finder.Response, verifyErr error, latency time.Duration, retries int) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	a := l.account(s.Class)
 	a.Requests++
-	a.ComeBacks += uint64(backs)
+	a.Retries += uint64(retries)
 	if l.tokens == nil {
 		l.tokens = map[string]tokenState{}
 	}
-	l.tokens[token] = tokenState{post: post, outcome: p.Outcome}
-	switch p.Outcome {
+	l.tokens[token] = tokenState{post: post, outcome: resp.Outcome}
+	switch resp.Outcome {
 	case finder.Answered:
 		a.Answered++
 		_ = a.Latency.RecordValue(max(latency.Microseconds(), lowestMicros))
@@ -230,30 +233,30 @@
 	default:
 		a.Unknown++
 	}
-	if p.Outcome != finder.Answered {
-		a.Reasons[p.Outcome.String()+": "+p.Reason]++
+	if resp.Outcome != finder.Answered {
+		a.Reasons[resp.Outcome.String()+": "+resp.Reason]++
 	}
 	switch {
-	case errors.Is(broken, errCut):
+	case errors.Is(verifyErr, errTruncated):
 		a.Cut++
-	case broken != nil:
+	case verifyErr != nil:
 		a.Wrong++
-		a.Reasons["wrong: "+broken.Error()]++
+		a.Reasons["wrong: "+verifyErr.Error()]++
 	}
 }
 
 func (l *Load) account(class string) *Account {
-	if l.classes == nil {
-		l.classes = map[string]*Account{}
+	if l.accounts == nil {
+		l.accounts = map[string]*Account{}
 	}
-	a := l.classes[class]
+	a := l.accounts[class]
 	if a == nil {
 		a = &Account{
 			Class:   class,
-			Latency: hdrhistogram.New(lowestMicros, highestMicros, digits),
+			Latency: hdrhistogram.New(lowestMicros, highestMicros, significantDigits),
 			Reasons: map[string]uint64{},
 		}
-		l.classes[class] = a
+		l.accounts[class] = a
 	}
 	return a
 }
@@ -263,7 +266,7 @@
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	var out []Account
-	for _, a := range l.classes {
+	for _, a := range l.accounts {
 		b := *a
 		b.Latency = hdrhistogram.Import(a.Latency.Export())
 		out = append(out, b)
@@ -271,19 +274,19 @@
 	return out
 }
 
-// Judge compares the accounts with the journals of all upstreams.
-func (l *Load) Judge(journals []map[string]int) Verdict {
-	ran := map[string]int{}
+// CheckJournals compares the accounts with the journals of all upstreams.
+func (l *Load) CheckJournals(journals []map[string]int) Verdict {
+	runs := map[string]int{}
 	for _, j := range journals {
 		for t, n := range j {
-			ran[t] += n
+			runs[t] += n
 		}
 	}
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	var v Verdict
 	for t, s := range l.tokens {
-		n := ran[t]
+		n := runs[t]
 		if s.outcome == finder.Answered && n == 0 {
 			v.Lost++
 		}
@@ -294,7 +297,7 @@
 			v.NotRunRan++
 		}
 	}
-	for _, a := range l.classes {
+	for _, a := range l.accounts {
 		v.Cut += a.Cut
 		v.Wrong += a.Wrong
 	}
--- a/internal/standin/demonstrator/report.go
+++ b/internal/standin/demonstrator/report.go
@@ -17,40 +17,42 @@
 )
 
 const (
-	// window is over how long the use of slots is averaged for its peak.
-	window = time.Second
+	// usageWindow is the window over which the slot usage is averaged.
+	usageWindow = time.Second
 
 	microsPerMilli = 1000
 
-	// capSlack allows for the time between a step of the plan and its sight.
-	capSlack = 0.02
+	// capTolerance allows for the delay between a step of the plan and its
+	// observation.
+	capTolerance = 0.02
 )
 
 type (
-	// Report is what came of a demo.
+	// Report is the result of a demo.
 	Report struct {
 		Shape   string
 		Seconds float64
 		Classes []ClassReport
-		// Use is the highest use of slots by region, as a mean over one
-		// second and at any moment, in parts of all its slots.
+		// Use is the peak slot usage by region, as a mean over one second and
+		// at any moment, as fractions of the region's slots.
 		Use []RegionUse
-		// Drain is from the command until nothing ran there.
+		// Drain is the time from the command until no request ran in the domain.
 		Drain time.Duration
-		// ShiftCapPerMinute is the cap of the shift, ShiftFastest the most
-		// that moved in any span, scaled to a minute.
+		// ShiftCapPerMinute is the cap of the shift, ShiftFastest the highest
+		// observed rate per minute.
 		ShiftCapPerMinute float64
 		ShiftFastest      float64
 		ShiftMoved        float64
 		Verdict           caller.Verdict
-		// Shed is requests that upstreams had to refuse for want of a slot.
+		// Shed counts requests that upstreams refused for lack of a free slot.
 		Shed    int64
 		Lookups uint64
 
-		shiftSeen []shiftPoint
+		shiftSamples []shiftSample
 	}
 
-	// ClassReport is the measures of one class, in milliseconds.
+	// ClassReport holds the measurements of one class, with latencies in
+	// milliseconds.
 	ClassReport struct {
 		Class    string
 		Requests uint64
@@ -64,71 +66,72 @@
 		Reasons  map[string]uint64 `json:",omitempty"`
 	}
 
-	// RegionUse is the highest use of a region.
+	// RegionUse is the peak slot usage of a region.
 	RegionUse struct {
 		Region string
 		Mean   float64
 		Moment float64
 	}
 
-	shiftPoint struct {
-		at   timekeeper.Millis
-		have float64
+	shiftSample struct {
+		at    timekeeper.Millis
+		moved float64
 	}
 
-	// usage samples the slots in use.
+	// usage samples the slot usage of each region.
 	usage struct {
 		fleet *fleet
 		slots map[string]int
 
 		lock   sync.Mutex
-		recent map[string][]usePoint
+		recent map[string][]usageSample
 		mean   map[string]float64
-		moment map[string]float64
+		peak   map[string]float64
 	}
 
-	usePoint struct {
-		at   time.Time
-		part float64
+	usageSample struct {
+		at       time.Time
+		fraction float64
 	}
 )
 
-// Broken tells whether any promise was broken.
+// Broken reports whether any guarantee was violated.
 func (r *Report) Broken() bool {
-	return r.Verdict.Broken() || r.ShiftFastest > r.ShiftCapPerMinute*(1+capSlack)
+	return r.Verdict.Violated() || r.ShiftFastest > r.ShiftCapPerMinute*(1+capTolerance)
 }
 
-// noteShift keeps how much a plan made at a wall time had moved, whenever it
-// changed.
-func (r *Report) noteShift(at timekeeper.Millis, have float64) {
-	if n := len(r.shiftSeen); n > 0 && r.shiftSeen[n-1].have == have {
+// recordShift records the moved share whenever it has changed; at is when the
+// plan was made.
+func (r *Report) recordShift(at timekeeper.Millis, moved float64) {
+	if n := len(r.shiftSamples); n > 0 && r.shiftSamples[n-1].moved == moved {
 		return
 	}
-	r.shiftSeen = append(r.shiftSeen, shiftPoint{at, have})
-	r.ShiftMoved = have
+	r.shiftSamples = append(r.shiftSamples, shiftSample{at, moved})
+	r.ShiftMoved = moved
 }
 
-// fastest is the most that moved within any span, scaled to a minute. The first
-// step may hold what the planner allows at once, so the span begins before it.
-func (r *Report) fastest() float64 {
-	var most float64
-	for i, a := range r.shiftSeen {
-		for _, b := range r.shiftSeen[i+1:] {
+// maxShiftRate returns the highest rate of the shift per minute over any span of
+// at least 2 s. The first step may include an initial burst that the planner
+// allows, so spans start at the sample before it.
+func (r *Report) maxShiftRate() float64 {
+	var highest float64
+	for i, a := range r.shiftSamples {
+		for _, b := range r.shiftSamples[i+1:] {
 			if span := b.at - a.at; span >= 2*timekeeper.Second {
-				most = max(most, (b.have-a.have)/span.Duration().Minutes())
+				highest = max(highest, (b.moved-a.moved)/span.Duration().Minutes())
 			}
 		}
 	}
-	return most
+	return highest
 }
 
 func newUsage(f *fleet) *usage {
 	u := &usage{
 		fleet:  f,
 		slots:  map[string]int{},
-		recent: map[string][]usePoint{},
+		recent: map[string][]usageSample{},
 		mean:   map[string]float64{},
-		moment: map[string]float64{},
+		peak:   map[string]float64{},
 	}
 	for _, s := range f.servers {
 		u.slots[s.site.Region()] += s.Slots
@@ -137,7 +140,7 @@
 }
 
 func (u *usage) loop(ctx context.Context) {
-	timekeeper.Every(ctx, watchPace, func() { u.sample(time.Now()) })
+	timekeeper.Every(ctx, pollInterval, func() { u.sample(time.Now()) })
 }
 
 func (u *usage) sample(now time.Time) {
@@ -148,26 +151,26 @@
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	for region, slots := range u.slots {
-		part := float64(busy[region]) / float64(slots)
-		u.moment[region] = max(u.moment[region], part)
-		points := append(u.recent[region], usePoint{now, part})
-		for now.Sub(points[0].at) > window {
-			points = points[1:]
+		fraction := float64(busy[region]) / float64(slots)
+		u.peak[region] = max(u.peak[region], fraction)
+		samples := append(u.recent[region], usageSample{now, fraction})
+		for now.Sub(samples[0].at) > usageWindow {
+			samples = samples[1:]
 		}
-		u.recent[region] = points
-		u.mean[region] = max(u.mean[region], meanOf(points))
+		u.recent[region] = samples
+		u.mean[region] = max(u.mean[region], meanOf(samples))
 	}
 }
 
-func meanOf(points []usePoint) float64 {
+func meanOf(samples []usageSample) float64 {
 	var sum float64
-	for _, p := range points {
-		sum += p.part
+	for _, p := range samples {
+		sum += p.fraction
 	}
-	return sum / float64(len(points))
+	return sum / float64(len(samples))
 }
 
-// busyAt is how many requests run at a site now.
+// busyAt returns the number of requests that run at a site.
 func (f *fleet) busyAt(site registrar.Site) int64 {
 	var n int64
 	for _, s := range f.servers {
@@ -178,25 +181,25 @@
 	return n
 }
 
-// finish fills in the report.
-func (r *run) finish() {
+// finish completes the report.
+func (r *demoRun) finish() {
 	p := &r.report
-	p.Shape = r.shape.name
+	p.Shape = r.deployment.name
 	p.Seconds = r.options.Length.Seconds()
 	for _, a := range r.load.Accounts() {
 		p.Classes = append(p.Classes, classReport(a))
 	}
 	slices.SortFunc(p.Classes, func(a, b ClassReport) int { return strings.Compare(a.Class, b.Class) })
 	for _, region := range slices.Sorted(maps.Keys(r.usage.mean)) {
-		p.Use = append(p.Use, RegionUse{region, r.usage.mean[region], r.usage.moment[region]})
+		p.Use = append(p.Use, RegionUse{region, r.usage.mean[region], r.usage.peak[region]})
 	}
 	for _, s := range r.fleet.servers {
 		p.Shed += s.Counts().Shed
 	}
 	r.lock.Lock()
-	p.ShiftFastest = p.fastest()
+	p.ShiftFastest = p.maxShiftRate()
 	r.lock.Unlock()
-	p.Verdict = r.load.Judge(r.fleet.journals())
+	p.Verdict = r.load.CheckJournals(r.fleet.journals())
 }
 
 func classReport(a caller.Account) ClassReport {
@@ -215,7 +218,7 @@
 	}
 }
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (r *Report) Print(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\nclass\trequests\tanswered\tnot run\tunknown\tp50 ms\tp90 ms\tp99 ms\tmax ms\t")
@@ -231,9 +234,9 @@
 	}
 	fmt.Fprintln(w)
 	for _, u := range r.Use {
-		fmt.Fprintf(w, "highest use of slots in %s: %.0f%% over a second, %.0f%% at a moment\n", u.Region, 100*u.Mean, 100*u.Moment)
+		fmt.Fprintf(w, "peak slot usage in %s: %.0f%% over one second, %.0f%% momentary\n", u.Region, 100*u.Mean, 100*u.Moment)
 	}
-	fmt.Fprintf(w, "shift: %.1f%% moved, at most %.1f%%/min of the %.1f%%/min allowed\n",
+	fmt.Fprintf(w, "shift: %.1f%% moved, peak rate %.1f%%/min, cap %.1f%%/min\n",
 		100*r.ShiftMoved, 100*r.ShiftFastest, 100*r.ShiftCapPerMinute)
 	fmt.Fprintf(w, "drain: %.1f s\n", r.Drain.Seconds())
 	v := r.Verdict
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -15,8 +15,8 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// The headers by which this stand-in says that it shed a request, or is about to
-// stop.
+// Response headers of the stand-in: the request was shed without being run, and
+// the server is draining.
 const (
 	HeaderNotRun   = "X-Not-Run"
 	HeaderDraining = "X-Draining"
@@ -28,55 +28,55 @@
 	journalPath = "/Journal"
 	drainPath   = "/Drain"
 
-	maxBody = 64 << 20
+	maxBodyBytes = 64 << 20
 
-	// longest bounds a drawn service time, in multiples of the mean.
-	longest = 8
+	// maxServiceMultiple caps a random service time, in multiples of the mean.
+	maxServiceMultiple = 8
 
-	pieceBytes = 16 << 10
+	chunkBytes = 16 << 10
 )
 
 type (
-	// Server is one stand-in upstream. Set the exported fields before use.
+	// Server is a stand-in upstream. Set the exported fields before use.
 	Server struct {
 		Name  string
 		Slots int
-		// ServiceMillis is the mean time to serve a request, drawn from an
-		// exponential distribution.
+		// ServiceMillis is the mean service time of a request; service times
+		// are exponentially distributed.
 		ServiceMillis float64
-		// Bytes is the length of an answer whose request names none.
+		// Bytes is the length of a response if the request does not set one.
 		Bytes int64
-		// Pace is how many bytes a second an answer flows; 0 is no limit.
+		// Pace limits a response to this many bytes per second; 0 means no limit.
 		Pace int64
-		// ConnMillis and ProbeMillis are what a new connection and a probe
-		// cost, during which nothing else is begun.
+		// ConnMillis and ProbeMillis are the costs of a new connection and a
+		// probe. Connections and probes are handled one at a time.
 		ConnMillis  timekeeper.Millis
 		ProbeMillis timekeeper.Millis
-		// ColdRequests is how many first requests take twice as long.
+		// ColdRequests is the number of first requests that take twice as long.
 		ColdRequests int64
-		// LagMillis is how old the load is that the load page shows.
+		// LagMillis is the maximum age of the load reported at /load.
 		LagMillis timekeeper.Millis
 		Seed      uint64
 
-		cpu      sync.Mutex
-		busy     atomic.Int64
-		peak     atomic.Int64
-		served   atomic.Int64
-		shed     atomic.Int64
-		probes   atomic.Int64
-		conns    atomic.Int64
-		draining atomic.Bool
-		drained  atomic.Int64
-		late     atomic.Int64
+		cpu       sync.Mutex
+		busy      atomic.Int64
+		peak      atomic.Int64
+		served    atomic.Int64
+		shed      atomic.Int64
+		probes    atomic.Int64
+		conns     atomic.Int64
+		draining  atomic.Bool
+		drainedAt atomic.Int64
+		late      atomic.Int64
 
-		lock    sync.Mutex
-		random  *rand.Rand
-		journal map[string]int
-		shown   int64
-		shownAt time.Time
+		lock         sync.Mutex
+		random       *rand.Rand
+		journal      map[string]int
+		reportedLoad int64
+		reportedAt   time.Time
 	}
 
-	// Counts is what a stand-in did.
+	// Counts holds the counters and the journal of a server.
 	Counts struct {
 		Name    string
 		Slots   int
@@ -90,7 +90,7 @@
 	}
 )
 
-// HTTP returns a server for s. The caller sets its address.
+// HTTP returns an HTTP server for s. The caller sets its address.
 func (s *Server) HTTP() *http.Server {
 	return &http.Server{Handler: s, ConnState: s.connState}
 }
@@ -98,12 +98,12 @@
 func (s *Server) connState(_ net.Conn, state http.ConnState) {
 	if state == http.StateNew {
 		s.conns.Add(1)
-		s.spend(s.ConnMillis)
+		s.occupyCPU(s.ConnMillis)
 	}
 }
 
-// spend makes everything else wait.
-func (s *Server) spend(m timekeeper.Millis) {
+// occupyCPU simulates work that is done one at a time.
+func (s *Server) occupyCPU(m timekeeper.Millis) {
 	if m <= 0 {
 		return
 	}
@@ -112,13 +112,13 @@
 	time.Sleep(m.Duration())
 }
 
-// Drain announces that the server stops, or that it is back.
+// Drain starts or ends draining.
 func (s *Server) Drain(on bool) {
-	s.drained.Store(time.Now().UnixNano())
+	s.drainedAt.Store(time.Now().UnixNano())
 	s.draining.Store(on)
 }
 
-// Counts returns what s did so far.
+// Counts returns the counters and a copy of the journal.
 func (s *Server) Counts() Counts {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -139,18 +139,18 @@
 	return c
 }
 
-// Busy returns how many requests run now.
+// Busy returns the number of requests that run now.
 func (s *Server) Busy() int64 {
 	return s.busy.Load()
 }
 
-// ServeHTTP serves requests, probes, and the pages for whoever runs s.
+// ServeHTTP serves requests, probes, and the control paths.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case probePath:
 		s.serveProbe(w)
 	case loadPath:
-		writeJSON(w, s.laggingLoad())
+		writeJSON(w, s.delayedLoad())
 	case journalPath:
 		writeJSON(w, s.Counts())
 	case drainPath:
@@ -162,62 +162,62 @@
 
 func (s *Server) serveProbe(w http.ResponseWriter) {
 	s.probes.Add(1)
-	s.spend(s.ProbeMillis)
-	s.mark(w)
+	s.occupyCPU(s.ProbeMillis)
+	s.setDrainHeader(w)
 	w.WriteHeader(http.StatusOK)
 }
 
-func (s *Server) mark(w http.ResponseWriter) {
+func (s *Server) setDrainHeader(w http.ResponseWriter) {
 	if s.draining.Load() {
 		w.Header().Set(HeaderDraining, "1")
 	}
 }
 
-// laggingLoad is the number of busy slots some time ago.
-func (s *Server) laggingLoad() int64 {
+// delayedLoad returns the number of busy slots, updated every LagMillis.
+func (s *Server) delayedLoad() int64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if time.Since(s.shownAt) >= s.LagMillis.Duration() {
-		s.shown = s.busy.Load()
-		s.shownAt = time.Now()
+	if time.Since(s.reportedAt) >= s.LagMillis.Duration() {
+		s.reportedLoad = s.busy.Load()
+		s.reportedAt = time.Now()
 	}
-	return s.shown
+	return s.reportedLoad
 }
 
-// lateAfter is when new work at a draining server counts as late.
-const lateAfter = 2 * time.Second
+// lateThreshold is the time after the start of a drain from which new requests count as late.
+const lateThreshold = 2 * time.Second
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	if s.draining.Load() && time.Now().UnixNano()-s.drained.Load() > int64(lateAfter) {
+	if s.draining.Load() && time.Now().UnixNano()-s.drainedAt.Load() > int64(lateThreshold) {
 		s.late.Add(1)
 	}
 	if n := s.busy.Add(1); n > int64(s.Slots) {
 		s.busy.Add(-1)
 		s.shed.Add(1)
-		s.mark(w)
+		s.setDrainHeader(w)
 		w.Header().Set(HeaderNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	var once sync.Once
-	free := func() { once.Do(func() { s.busy.Add(-1) }) }
-	defer free()
-	s.notePeak()
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	release := func() { once.Do(func() { s.busy.Add(-1) }) }
+	defer release()
+	s.updatePeak()
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
-		// Half a request is no request: nothing of it is run.
+		// A request whose body is incomplete is not run.
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	token := r.URL.Query().Get(payload.ParamToken)
-	s.run(token)
-	if !s.work(r) {
+	s.recordRun(token)
+	if !s.simulateWork(r) {
 		return
 	}
-	s.answer(w, r, token, body, free)
+	s.writeResponse(w, r, token, body, release)
 }
 
-func (s *Server) notePeak() {
+func (s *Server) updatePeak() {
 	for {
 		n := s.busy.Load()
 		p := s.peak.Load()
@@ -227,8 +227,8 @@
 	}
 }
 
-// run notes in the journal that a request takes effect.
-func (s *Server) run(token string) {
+// recordRun records in the journal that a request ran.
+func (s *Server) recordRun(token string) {
 	s.served.Add(1)
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -238,52 +238,52 @@
 	s.journal[token]++
 }
 
-// work takes the time of the request. It reports false when the caller gave up.
-func (s *Server) work(r *http.Request) bool {
+// simulateWork waits for the service time. It returns false if the caller gave up.
+func (s *Server) simulateWork(r *http.Request) bool {
 	select {
-	case <-time.After(s.draw()):
+	case <-time.After(s.drawServiceTime()):
 		return true
 	case <-r.Context().Done():
 		return false
 	}
 }
 
-func (s *Server) draw() time.Duration {
+func (s *Server) drawServiceTime() time.Duration {
 	s.lock.Lock()
 	if s.random == nil {
 		s.random = rand.New(rand.NewPCG(s.Seed, s.Seed))
 	}
-	x := min(s.random.ExpFloat64(), longest)
+	factor := min(s.random.ExpFloat64(), maxServiceMultiple)
 	s.lock.Unlock()
 	if s.served.Load() <= s.ColdRequests {
-		x *= 2
+		factor *= 2
 	}
-	return time.Duration(x * s.ServiceMillis * float64(time.Millisecond))
+	return time.Duration(factor * s.ServiceMillis * float64(time.Millisecond))
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, token string, body []byte, free func()) {
+func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, token string, body []byte, release func()) {
 	length := s.Bytes
 	if n, err := strconv.ParseInt(r.URL.Query().Get(payload.ParamBytes), 10, 64); err == nil {
 		length = n
 	}
-	s.mark(w)
+	s.setDrainHeader(w)
 	w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	w.Header().Set("Content-Type", "application/octet-stream")
 	stream := payload.New(token, body, length)
-	piece := make([]byte, min(pieceBytes, max(length, 1)))
+	chunk := make([]byte, min(chunkBytes, max(length, 1)))
 	began := time.Now()
 	var sent int64
 	for {
-		n, err := stream.Read(piece)
+		n, err := stream.Read(chunk)
 		if err != nil {
 			return
 		}
 		sent += int64(n)
 		if sent == length {
-			// The slot is free before the caller can see the end.
-			free()
+			// The slot must be free before the caller sees the end of the response.
+			release()
 		}
-		if _, err := w.Write(piece[:n]); err != nil {
+		if _, err := w.Write(chunk[:n]); err != nil {
 			return
 		}
 		if s.Pace > 0 {
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -20,16 +20,16 @@
 	"github.com/gullvale/gullvale/internal/version/resolver"
 )
 
-// The measurements here start real processes and take real time. They run only
-// on request: go test -run xxx -bench . ./test/
+// The benchmarks in this file start real processes and run in real time:
+// go test -run xxx -bench . ./test/
 
 const (
 	ticksPerSecond = 100
 	pageKB         = 4
 )
 
-// cpu returns the processor time that a process has used.
-func (p *process) cpu() time.Duration {
+// cpuTime returns the CPU time that the process has used.
+func (p *process) cpuTime() time.Duration {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		p.t.Fatal(err)
@@ -40,8 +40,8 @@
 	return time.Duration(user+system) * time.Second / ticksPerSecond
 }
 
-// rss returns the resident memory of a process in KB.
-func (p *process) rss() float64 {
+// residentKB returns the resident set size of the process in KB.
+func (p *process) residentKB() float64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
 	if err != nil {
 		p.t.Fatal(err)
@@ -50,10 +50,10 @@
 	return float64(pages * pageKB)
 }
 
-// idleSpan is how long an idle fleet is watched.
-const idleSpan = 15 * time.Second
+// idleDuration is how long the resource usage of a fleet is measured.
+const idleDuration = 15 * time.Second
 
-func fleetOf(b *testing.B, platform string, n int, regions ...string) []*daemon {
+func startFleet(b *testing.B, platform string, n int, regions ...string) []*daemon {
 	b.Helper()
 	if len(regions) == 0 {
 		regions = []string{"erie", "michigan", "superior"}
@@ -70,8 +70,8 @@
 	return all
 }
 
-// fleetTree has one upstream of keg-ledger in each failure domain.
-func fleetTree(b *testing.B, upstream func() string) string {
+// fleetSettings returns settings with one keg-ledger upstream in each failure domain.
+func fleetSettings(b *testing.B, upstream func() string) string {
 	b.Helper()
 	text := ""
 	for _, r := range []string{"erie", "michigan", "superior"} {
@@ -82,15 +82,15 @@
 	return text
 }
 
-// BenchmarkIdle tells what a daemon spends on control while nothing happens.
+// BenchmarkIdle reports the cost of the control plane per daemon of an idle fleet.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{5, 10, 20, 40} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			address := startPlatform(b)
-			all := fleetOf(b, address, n)
+			all := startFleet(b, address, n)
 			upstream := startUpstream(b)
 			ports := 0
-			all[0].apply(n, fleetTree(b, func() string {
+			all[0].applySettings(n, fleetSettings(b, func() string {
 				ports++
 				if ports == 1 {
 					return upstream
@@ -104,40 +104,39 @@
 	}
 }
 
-// reportIdle watches a fleet and reports what one daemon spends, and what all
-// together ask of the platform.
+// reportIdle reports the resource usage per daemon over idleDuration, and the calls and writes of
+// all daemons to the platform.
 func reportIdle(b *testing.B, all []*daemon) {
 	b.Helper()
-	before := spent(all)
-	time.Sleep(idleSpan)
-	after := spent(all)
+	before := measureUsage(all)
+	time.Sleep(idleDuration)
+	after := measureUsage(all)
 	n := float64(len(all))
-	report := func(name string, x, y, by float64) {
-		b.ReportMetric((y-x)/idleSpan.Seconds()/by, name)
+	report := func(name string, from, to, divisor float64) {
+		b.ReportMetric((to-from)/idleDuration.Seconds()/divisor, name)
 	}
 	report("link-B/s", before.link, after.link, n)
 	report("wire-B/s", before.wire, after.wire, n)
 	report("pings/s", before.pings, after.pings, n)
-	var most float64
+	var busiest float64
 	for i := range all {
-		most = max(most, after.links[i]-before.links[i])
+		busiest = max(busiest, after.links[i]-before.links[i])
 	}
-	b.ReportMetric(most/idleSpan.Seconds(), "most-link-B/s")
+	b.ReportMetric(busiest/idleDuration.Seconds(), "most-link-B/s")
 	report("platform-B/s", before.platform, after.platform, n)
-	report("cpu-ms/s", before.cpu, after.cpu, n)
-	// Asking for the status before cost one call of each daemon.
+	report("cpu-ms/s", before.cpuTime, after.cpuTime, n)
+	// Reading the status beforehand cost each daemon one call.
 	report("calls/s", before.calls+n, after.calls, 1)
 	report("writes/s", before.writes, after.writes, 1)
-	b.ReportMetric(after.rss/n, "rss-KB")
+	b.ReportMetric(after.residentKB/n, "rss-KB")
 }
 
-// BenchmarkLead tells what a lead hears and says as its region grows: most-link-B/s
-// is the lead's.
+// BenchmarkLead reports the traffic of the leader as its region grows; most-link-B/s is the leader's.
 func BenchmarkLead(b *testing.B) {
 	for _, n := range []int{10, 20, 40, 71} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			all := fleetOf(b, startPlatform(b), n, "erie")
-			all[0].apply(n, fmt.Sprintf(oneSite, "127.0.0.1:9"))
+			all := startFleet(b, startPlatform(b), n, "erie")
+			all[0].applySettings(n, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
 			for b.Loop() {
 				reportIdle(b, all)
 			}
@@ -145,47 +144,47 @@
 	}
 }
 
-// BenchmarkLoaded tells what control costs while requests pass: reports of loads,
-// and the free slots that owners tell the daemons of their site.
+// BenchmarkLoaded reports the cost of the control plane under load: load reports, and the free
+// slots that owners announce to the daemons of their site.
 func BenchmarkLoaded(b *testing.B) {
 	for _, rate := range []float64{100, 300, 900} {
 		b.Run(fmt.Sprint(rate), func(b *testing.B) {
-			all := fleetOf(b, startPlatform(b), 12)
-			all[0].apply(12, fleetTree(b, func() string { return startUpstream(b) }))
-			x := startTraffic(b, rate, all...)
-			x.flows()
+			all := startFleet(b, startPlatform(b), 12)
+			all[0].applySettings(12, fleetSettings(b, func() string { return startUpstream(b) }))
+			load := startTraffic(b, rate, all...)
+			load.waitProgress()
 			for b.Loop() {
-				handed := handedBy(all)
+				forwarded := forwardedRequests(all)
 				reportIdle(b, all)
-				b.ReportMetric((handedBy(all)-handed)/idleSpan.Seconds(), "handed/s")
+				b.ReportMetric((forwardedRequests(all)-forwarded)/idleDuration.Seconds(), "handed/s")
 			}
-			x.cancel()
-			x.done.Wait()
+			load.cancel()
+			load.done.Wait()
 		})
 	}
 }
 
-// BenchmarkReturn takes the platform away for longer than any lease, and tells what
-// all daemons ask of it in each of the first seconds when it is back.
+// BenchmarkReturn takes the platform down for longer than any lease and reports the highest number
+// of calls per second in the first 5 s after it is back.
 func BenchmarkReturn(b *testing.B) {
 	for _, n := range []int{10, 20, 40} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			address := startPlatform(b)
-			all := fleetOf(b, address, n)
-			all[0].apply(n, fmt.Sprintf(oneSite, "127.0.0.1:9"))
+			all := startFleet(b, address, n)
+			all[0].applySettings(n, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
 			for b.Loop() {
-				fault(b, address, platform.Faults{Down: true})
+				setFaults(b, address, platform.Faults{Down: true})
 				time.Sleep(20 * time.Second)
 				before := platformCalls(b, address)
-				fault(b, address, platform.Faults{})
-				var most uint64
+				setFaults(b, address, platform.Faults{})
+				var peak uint64
 				for range 5 {
 					time.Sleep(time.Second)
 					now := platformCalls(b, address)
-					most = max(most, now-before)
+					peak = max(peak, now-before)
 					before = now
 				}
-				b.ReportMetric(float64(most), "most-calls/s")
+				b.ReportMetric(float64(peak), "most-calls/s")
 			}
 		})
 	}
@@ -193,34 +192,34 @@
 
 func platformCalls(b *testing.B, address string) uint64 {
 	b.Helper()
-	p, err := http.Get(address + "/Counts")
+	resp, err := http.Get(address + "/Counts")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer p.Body.Close()
+	defer resp.Body.Close()
 	var c platform.Counts
-	if err := json.NewDecoder(p.Body).Decode(&c); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(&c); err != nil {
 		b.Fatal(err)
 	}
 	return c.Reads + c.Writes + c.Watches
 }
 
-// handedBy counts the requests that daemons handed to others.
-func handedBy(all []*daemon) float64 {
+// forwardedRequests returns how many requests the daemons forwarded to other daemons.
+func forwardedRequests(all []*daemon) float64 {
 	var n float64
 	for _, d := range all {
-		n += float64(d.state().Control.RequestsHanded)
+		n += float64(d.status().Control.RequestsHanded)
 	}
 	return n
 }
 
-// BenchmarkRegions tells how the calls to the platform grow with regions.
+// BenchmarkRegions reports how the calls to the platform grow with the number of regions.
 func BenchmarkRegions(b *testing.B) {
 	names := []string{"r0", "r1", "r2", "r3", "r4", "r5", "r6"}
 	for _, n := range []int{1, 3, 5, 7} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			all := fleetOf(b, startPlatform(b), 14, names[:n]...)
-			all[0].apply(14, "Limit = \"80%\"\n")
+			all := startFleet(b, startPlatform(b), 14, names[:n]...)
+			all[0].applySettings(14, "Limit = \"80%\"\n")
 			for b.Loop() {
 				reportIdle(b, all)
 			}
@@ -228,18 +227,18 @@
 	}
 }
 
-// spending is what all daemons spent; links holds the link bytes of each.
-type spending struct {
-	link, wire, pings, platform, calls, writes, cpu, rss float64
+// resourceUsage is the total usage of all daemons; links holds the link bytes of each.
+type resourceUsage struct {
+	link, wire, pings, platform, calls, writes, cpuTime, residentKB float64
 
 	links []float64
 }
 
-func spent(all []*daemon) spending {
-	var s spending
+func measureUsage(all []*daemon) resourceUsage {
+	var s resourceUsage
 	for _, d := range all {
 		var st operator.Status
-		d.call(http.MethodGet, operator.PathStatus, nil, &st)
+		d.callOperator(http.MethodGet, operator.PathStatus, nil, &st)
 		c := st.Control
 		s.link += float64(c.LinkBytesIn + c.LinkBytesOut)
 		s.links = append(s.links, float64(c.LinkBytesIn+c.LinkBytesOut))
@@ -248,63 +247,62 @@
 		s.platform += float64(c.PlatformBytes)
 		s.calls += float64(c.PlatformReads + c.PlatformWrites + c.PlatformWatches)
 		s.writes += float64(c.PlatformWrites)
-		s.cpu += float64(d.cpu().Milliseconds())
-		s.rss += d.rss()
+		s.cpuTime += float64(d.cpuTime().Milliseconds())
+		s.residentKB += d.residentKB()
 	}
 	return s
 }
 
-// BenchmarkInForce makes changes and times each until all daemons run it.
+// BenchmarkInForce reports the time from a change of settings until it is in force on all daemons.
 func BenchmarkInForce(b *testing.B) {
 	for _, n := range []int{5, 10, 20, 40} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			address := startPlatform(b)
-			all := fleetOf(b, address, n)
-			all[0].apply(n, fmt.Sprintf(oneSite, "127.0.0.1:9"))
+			all := startFleet(b, address, n)
+			all[0].applySettings(n, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
 			const changes = 100
 			for b.Loop() {
-				var took []time.Duration
+				var durations []time.Duration
 				for i := range changes {
 					began := time.Now()
-					var a operator.ChangeAnswer
-					all[i%n].call(http.MethodPost, operator.PathChange, operator.ChangeRequest{
+					var accepted operator.ChangeAnswer
+					all[i%n].callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{
 						Edits: []resolver.Edit{{Path: "/", Key: resolver.KeySlots, Value: resolver.Value(fmt.Sprint(i%7 + 1))}},
-					}, &a)
+					}, &accepted)
 					for {
-						var f operator.InForceAnswer
-						all[i%n].call(http.MethodGet, fmt.Sprintf("%s?Number=%d", operator.PathInForce, a.Number), nil, &f)
-						if f.InForce == n {
+						var status operator.InForceAnswer
+						all[i%n].callOperator(http.MethodGet, fmt.Sprintf("%s?Number=%d", operator.PathInForce, accepted.Number), nil, &status)
+						if status.InForce == n {
 							break
 						}
 						time.Sleep(2 * time.Millisecond)
 					}
-					took = append(took, time.Since(began))
+					durations = append(durations, time.Since(began))
 				}
-				reportTimes(b, "inforce", took)
+				reportQuantiles(b, "inforce", durations)
 			}
 		})
 	}
 }
 
-func reportTimes(b *testing.B, name string, took []time.Duration) {
+func reportQuantiles(b *testing.B, name string, durations []time.Duration) {
 	b.Helper()
-	slices.Sort(took)
+	slices.Sort(durations)
 	at := func(q float64) float64 {
-		return float64(took[min(int(q*float64(len(took))), len(took)-1)].Microseconds()) / 1000
+		return float64(durations[min(int(q*float64(len(durations))), len(durations)-1)].Microseconds()) / 1000
 	}
 	b.ReportMetric(at(0.5), name+"-p50-ms")
 	b.ReportMetric(at(0.99), name+"-p99-ms")
 	b.ReportMetric(at(1), name+"-max-ms")
 }
 
-// BenchmarkEntry compares requests through an entry with requests straight to
-// the stand-in upstream, in the same run and alternating, and tells what an
-// entry takes of a processor.
+// BenchmarkEntry compares requests through an entry with direct requests to the stand-in upstream,
+// alternating in the same run, and reports the requests per second and per core.
 func BenchmarkEntry(b *testing.B) {
 	address := startPlatform(b)
 	upstream := startUpstream(b, "--service-millis", "0", "--slots", "1000")
 	d := startDaemon(b, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	d.apply(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 1000\n", upstream))
+	d.applySettings(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 1000\n", upstream))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	get := func(to string, n int) time.Duration {
 		q, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/x?Token=t%d&Bytes=600", to, n), nil)
@@ -313,15 +311,15 @@
 		}
 		q.Header.Set("Gullvale-Service", "keg-ledger")
 		began := time.Now()
-		p, err := client.Do(q)
+		resp, err := client.Do(q)
 		if err != nil {
 			b.Fatal(err)
 		}
-		_, _ = io.Copy(io.Discard, p.Body)
-		p.Body.Close()
+		_, _ = io.Copy(io.Discard, resp.Body)
+		resp.Body.Close()
 		return time.Since(began)
 	}
-	time.Sleep(5 * time.Second) // the ramp of the upstream
+	time.Sleep(5 * time.Second) // warm-up of the upstream
 	b.Run("latency", func(b *testing.B) {
 		var direct, entry []time.Duration
 		for n := 0; b.Loop(); n++ {
@@ -341,49 +339,47 @@
 	})
 	b.Run("lookups", func(b *testing.B) {
 		reportThroughput(b, d, func(int) {
-			p, err := client.Get("http://" + d.callers + "/Lookup?Service=keg-ledger&Block=10.1.2.3")
+			resp, err := client.Get("http://" + d.callers + "/Lookup?Service=keg-ledger&Block=10.1.2.3")
 			if err != nil {
 				b.Fatal(err)
 			}
-			_, _ = io.Copy(io.Discard, p.Body)
-			p.Body.Close()
+			_, _ = io.Copy(io.Discard, resp.Body)
+			resp.Body.Close()
 		})
 	})
 }
 
-// reportThroughput has many callers at once and tells what a daemon takes of a
-// processor.
-func reportThroughput(b *testing.B, d *daemon, ask func(n int)) {
+// reportThroughput sends requests from 32 workers and reports the rate, per second and per core.
+func reportThroughput(b *testing.B, d *daemon, sendRequest func(n int)) {
 	b.Helper()
 	const workers = 32
-	cpu, began := d.cpu(), time.Now()
-	var done sync.WaitGroup
+	cpuTime, began := d.cpuTime(), time.Now()
+	var wg sync.WaitGroup
 	for w := range workers {
-		done.Add(1)
+		wg.Add(1)
 		go func() {
-			defer done.Done()
+			defer wg.Done()
 			for n := range b.N/workers + 1 {
-				ask(w*1000000 + n)
+				sendRequest(w*1000000 + n)
 			}
 		}()
 	}
-	done.Wait()
+	wg.Wait()
 	total := float64(workers * (b.N/workers + 1))
-	b.ReportMetric(total/(d.cpu()-cpu).Seconds(), "per-core-s")
+	b.ReportMetric(total/(d.cpuTime()-cpuTime).Seconds(), "per-core-s")
 	b.ReportMetric(total/time.Since(began).Seconds(), "per-s")
 }
 
-// BenchmarkMemory tells what a connection without a request and one with a
-// request under way cost an entry.
+// BenchmarkMemory reports the memory of an entry per idle connection and per request in flight.
 func BenchmarkMemory(b *testing.B) {
 	const count = 1000
 	address := startPlatform(b)
 	upstream := startUpstream(b, "--service-millis", "0", "--slots", "2000", "--pace", "100")
 	d := startDaemon(b, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	d.apply(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 2000\n", upstream))
+	d.applySettings(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 2000\n", upstream))
 	time.Sleep(5 * time.Second)
 	for b.Loop() {
-		empty := d.rss()
+		baseline := d.residentKB()
 		var idle []net.Conn
 		for range count {
 			c, err := net.Dial("tcp", d.callers)
@@ -393,27 +389,27 @@
 			idle = append(idle, c)
 		}
 		time.Sleep(time.Second)
-		b.ReportMetric((d.rss()-empty)/count, "idle-KB")
-		empty = d.rss()
+		b.ReportMetric((d.residentKB()-baseline)/count, "idle-KB")
+		baseline = d.residentKB()
 		ctx, cancel := context.WithCancel(context.Background())
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: count}}
 		var bodies []io.Closer
 		for n := range count {
-			q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/x?Token=t%d&Bytes=100000", d.callers, n), nil)
+			req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/x?Token=t%d&Bytes=100000", d.callers, n), nil)
 			if err != nil {
 				b.Fatal(err)
 			}
-			q.Header.Set("Gullvale-Service", "keg-ledger")
-			p, err := client.Do(q)
+			req.Header.Set("Gullvale-Service", "keg-ledger")
+			resp, err := client.Do(req)
 			if err != nil {
 				b.Fatal(err)
 			}
-			bodies = append(bodies, p.Body)
+			bodies = append(bodies, resp.Body)
 		}
-		b.ReportMetric((d.rss()-empty)/count, "active-KB")
+		b.ReportMetric((d.residentKB()-baseline)/count, "active-KB")
 		cancel()
-		for _, x := range bodies {
-			x.Close()
+		for _, body := range bodies {
+			body.Close()
 		}
 		for _, c := range idle {
 			c.Close()
@@ -421,28 +417,28 @@
 	}
 }
 
-// BenchmarkStart times a daemon from its start to its first answer.
+// BenchmarkStart reports the time from the start of a daemon to its first successful response.
 func BenchmarkStart(b *testing.B) {
 	address := startPlatform(b)
 	upstream := startUpstream(b)
 	first := startDaemon(b, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
-	first.apply(1, fmt.Sprintf(oneSite, upstream))
-	var took []time.Duration
+	first.applySettings(1, fmt.Sprintf(oneSiteSettings, upstream))
+	var durations []time.Duration
 	for n := 0; b.Loop(); n++ {
 		began := time.Now()
 		d := startDaemon(b, daemonOptions{name: fmt.Sprintf("erie-x%d", n), region: "erie", domain: "a", platform: address, seeds: []string{first.links}})
 		for {
-			p, err := d.send(context.Background(), http.MethodGet, "keg-ledger", "/x?Token=t", nil)
+			resp, err := d.send(context.Background(), http.MethodGet, "keg-ledger", "/x?Token=t", nil)
 			if err == nil {
-				p.Body.Close()
-				if p.StatusCode == http.StatusOK {
+				resp.Body.Close()
+				if resp.StatusCode == http.StatusOK {
 					break
 				}
 			}
 			time.Sleep(time.Millisecond)
 		}
-		took = append(took, time.Since(began))
-		d.end()
+		durations = append(durations, time.Since(began))
+		d.kill()
 	}
-	reportTimes(b, "first-answer", took)
+	reportQuantiles(b, "first-answer", durations)
 }
