--- a/internal/connection/linker/call.go
+++ b/internal/connection/linker/call.go
@@ -34,7 +34,7 @@
 	responseStarted bool
 	// buffered is the head of a response that is held back until it is complete, nil
 	// for none. bufferedBody is the part of its body received so far.
-	buffered     *exchanger.Answer
+	buffered     *exchanger.Response
 	bufferedBody []byte
 }
 
@@ -43,11 +43,11 @@
 func (p *Peer) Run(ctx context.Context, c *exchanger.Call, relay bool) exchanger.Result {
 	s := p.current()
 	if s == nil {
-		return exchanger.Refused(exchanger.ReasonLinkDial, 0)
+		return exchanger.Refused(exchanger.ReasonLinkUnreachable, 0)
 	}
 	stream, err := s.mux.OpenStream()
 	if err != nil {
-		return exchanger.Refused(exchanger.ReasonLinkDial, 0)
+		return exchanger.Refused(exchanger.ReasonLinkUnreachable, 0)
 	}
 	defer stream.Close()
 	p.recordUse(pooler.KeyOf(c))
@@ -112,7 +112,7 @@
 	if f.Decode(&m) != nil {
 		return exchanger.Lost(exchanger.ReasonLinkLost, ""), true
 	}
-	a := exchanger.Answer{
+	a := exchanger.Response{
 		Status:   int(m.Status),
 		Header:   fromHeaders(m.Headers),
 		Length:   m.Length,
@@ -212,7 +212,7 @@
 		Length:       c.Length,
 		Relay:        relay,
 		BodyIncluded: c.Body == nil,
-		Body:         c.Short,
+		Body:         c.ShortBody,
 		Key:          c.Key,
 		Held:         c.Held,
 		Look:         c.Look,
--- a/internal/connection/linker/link_test.go
+++ b/internal/connection/linker/link_test.go
@@ -83,14 +83,14 @@
 	for back.Up() {
 		time.Sleep(time.Millisecond)
 	}
-	is.Equal(back.Run(context.Background(), call(), true).Reason, exchanger.ReasonLinkDial)
+	is.Equal(back.Run(context.Background(), call(), true).Reason, exchanger.ReasonLinkUnreachable)
 	is.True(to.Keep(func(registrar.Incarnation, time.Duration) bool { return false }) > 0)
 }
 
 func call() *exchanger.Call {
 	return &exchanger.Call{
 		Head:  exchanger.Head{ID: "1", Site: pool.Site, Service: pool.Service, Method: "GET", Target: "/"},
-		Start: func(exchanger.Answer) error { return nil },
+		Start: func(exchanger.Response) error { return nil },
 		Write: func([]byte) error { return nil },
 	}
 }
@@ -164,7 +164,7 @@
 			from, to, p := connectManagers(t, s.newClock())
 			returned := make(chan struct{})
 			to.Serve = func(_ context.Context, x *exchanger.Call, _ bool) exchanger.Result {
-				is.NoErr(x.Start(exchanger.Answer{Status: 200, Length: c.length}))
+				is.NoErr(x.Start(exchanger.Response{Status: 200, Length: c.length}))
 				is.NoErr(x.Write(make([]byte, 10)))
 				for _, s := range to.AcceptedSessions() {
 					s.Close()
@@ -174,7 +174,7 @@
 			}
 			started := false
 			x := call()
-			x.Start = func(exchanger.Answer) error {
+			x.Start = func(exchanger.Response) error {
 				started = true
 				return nil
 			}
@@ -201,7 +201,7 @@
 		return nil
 	}
 	to.Serve = func(_ context.Context, c *exchanger.Call, _ bool) exchanger.Result {
-		is.NoErr(c.Start(exchanger.Answer{Status: 200, Length: 30}))
+		is.NoErr(c.Start(exchanger.Response{Status: 200, Length: 30}))
 		for range 3 {
 			is.NoErr(c.Write(make([]byte, 10)))
 		}
--- a/internal/connection/linker/serve.go
+++ b/internal/connection/linker/serve.go
@@ -110,7 +110,7 @@
 		c.Deadline = now + timekeeper.Millis(q.RemainingMillis)
 	}
 	if q.BodyIncluded {
-		c.Short = q.Body
+		c.ShortBody = q.Body
 		return c
 	}
 	r, w := io.Pipe()
@@ -120,7 +120,7 @@
 	return c
 }
 
-func (in *inboundCall) sendResponse(a exchanger.Answer) error {
+func (in *inboundCall) sendResponse(a exchanger.Response) error {
 	return in.writer.Message(framer.KindResponse, &framer.Response{
 		Status:   uint32(a.Status),
 		Headers:  toHeaders(a.Header),
--- a/internal/connection/pooler/discard_test.go
+++ b/internal/connection/pooler/discard_test.go
@@ -37,7 +37,7 @@
 	o := newGatedOwner(settings(1, 1, startWithBody(t, "all slots are in use\n")), g)
 	for range 10 {
 		r := o.Run(context.Background(), call("x", nil, io.Discard))
-		is.Equal(r.Reason, exchanger.ReasonUpstreamBusy)
+		is.Equal(r.Reason, exchanger.ReasonUpstreamRefused)
 	}
 	is.Equal(g.dials.Load(), int64(1))
 }
@@ -87,7 +87,7 @@
 			o, _ := newOwner(settings(1, 1, s.Listener.Addr().String()))
 			for range 3 {
 				r := o.Run(context.Background(), call("x", nil, io.Discard))
-				is.Equal(r.Reason, exchanger.ReasonUpstreamBusy)
+				is.Equal(r.Reason, exchanger.ReasonUpstreamRefused)
 			}
 		})
 	}
--- a/internal/connection/pooler/holdtime_test.go
+++ b/internal/connection/pooler/holdtime_test.go
@@ -33,7 +33,7 @@
 	urgent.Deadline = c.reading() + 1500
 	r := o.Run(context.Background(), urgent)
 	is.Equal(r.Outcome, exchanger.NotRun)
-	is.Equal(r.Reason, exchanger.ReasonNoTime)
+	is.Equal(r.Reason, exchanger.ReasonNoSlotInTime)
 	is.True(r.RetryAfter > 0)
 	relaxed := call("z", nil, io.Discard)
 	relaxed.Deadline = c.reading() + 60000
--- a/internal/connection/pooler/outlier.go
+++ b/internal/connection/pooler/outlier.go
@@ -56,6 +56,6 @@
 // isFailure reports whether the outcome of a request counts as a failure of its
 // upstream: a lost connection, or a status of 500 or above.
 func isFailure(r exchanger.Result, status int) bool {
-	lost := r.Reason == exchanger.ReasonUpstreamLost || r.Reason == exchanger.ReasonUpstreamEnded
+	lost := r.Reason == exchanger.ReasonUpstreamLost || r.Reason == exchanger.ReasonUpstreamTerminated
 	return lost || status >= http.StatusInternalServerError
 }
--- a/internal/connection/pooler/pool.go
+++ b/internal/connection/pooler/pool.go
@@ -111,7 +111,7 @@
 		return p.refuseFull(exchanger.ReasonQueueFull), true
 	}
 	if p.wouldMissDeadline(deadline) {
-		return p.refuseFull(exchanger.ReasonNoTime), true
+		return p.refuseFull(exchanger.ReasonNoSlotInTime), true
 	}
 	return exchanger.Result{}, false
 }
@@ -169,7 +169,7 @@
 		p.release(u)
 		p.lock.Lock()
 		defer p.lock.Unlock()
-		return nil, p.refuseFull(exchanger.ReasonNoTime)
+		return nil, p.refuseFull(exchanger.ReasonNoSlotInTime)
 	}
 	return u, exchanger.Result{}
 }
--- a/internal/connection/pooler/pool_test.go
+++ b/internal/connection/pooler/pool_test.go
@@ -61,7 +61,7 @@
 			Service: key.Service, Site: key.Site, Method: http.MethodGet,
 			Target: "/x?Token=" + token + "&Bytes=3000", Host: "s", Header: http.Header{},
 		},
-		Start: func(exchanger.Answer) error { return nil },
+		Start: func(exchanger.Response) error { return nil },
 		Write: func(p []byte) error {
 			_, err := out.Write(p)
 			return err
@@ -69,7 +69,7 @@
 	}
 	if body != nil {
 		c.Method = http.MethodPost
-		c.Short = body
+		c.ShortBody = body
 	}
 	return c
 }
@@ -218,7 +218,7 @@
 	o, c := newOwner(settings(1, 0, address))
 	r := o.Run(context.Background(), call("x", []byte("x"), io.Discard))
 	is.Equal(r.Outcome, exchanger.NotRun)
-	is.Equal(r.Reason, exchanger.ReasonUpstreamDial)
+	is.Equal(r.Reason, exchanger.ReasonUpstreamUnreachable)
 	_, slots := o.Free(key)
 	is.Equal(slots, 0) // out of use until its back-off ends
 	c.now.Add(1000)
@@ -233,7 +233,7 @@
 	o, _ := newOwner(settings(1, 5, startServer(t, s)))
 	o.Valid = func() bool { return false }
 	r := o.Run(context.Background(), call("x", []byte("x"), io.Discard))
-	is.Equal(r.Reason, exchanger.ReasonPaused)
+	is.Equal(r.Reason, exchanger.ReasonMembershipExpired)
 	is.Equal(r.Outcome, exchanger.NotRun)
 	is.Equal(s.Counts().Served, int64(0))
 }
--- a/internal/connection/pooler/send.go
+++ b/internal/connection/pooler/send.go
@@ -61,7 +61,7 @@
 	a := &attempt{pool: p, dest: u, call: c, started: p.clock.Now()}
 	defer a.finish()
 	if !valid() {
-		return exchanger.Refused(exchanger.ReasonPaused, 0)
+		return exchanger.Refused(exchanger.ReasonMembershipExpired, 0)
 	}
 	if r, refused := admit(c); refused {
 		return r
@@ -101,7 +101,7 @@
 	a.recordResponse(p)
 	if p.Header.Get(a.pool.refusalHeader()) != "" {
 		discard(p)
-		r := exchanger.Refused(exchanger.ReasonUpstreamBusy, retryAfter)
+		r := exchanger.Refused(exchanger.ReasonUpstreamRefused, retryAfter)
 		r.Upstream = a.dest.address
 		return r
 	}
@@ -153,9 +153,9 @@
 func (a *attempt) setBody(q *http.Request) {
 	c := a.call
 	switch {
-	case len(c.Short) > 0:
-		q.Body = singleReadBody{bytes.NewReader(c.Short)}
-		q.ContentLength = int64(len(c.Short))
+	case len(c.ShortBody) > 0:
+		q.Body = singleReadBody{bytes.NewReader(c.ShortBody)}
+		q.ContentLength = int64(len(c.ShortBody))
 	case c.Body != nil:
 		q.Body = singleReadBody{c.Body}
 	default:
@@ -172,7 +172,7 @@
 	}
 	if !a.sent.Load() {
 		a.pool.markDown(a.dest)
-		r := exchanger.Refused(exchanger.ReasonUpstreamDial, 0)
+		r := exchanger.Refused(exchanger.ReasonUpstreamUnreachable, 0)
 		r.Upstream = a.dest.address
 		return r
 	}
@@ -194,7 +194,7 @@
 		return exchanger.ReasonUpstreamLost
 	}
 	a.pool.markDown(a.dest)
-	return exchanger.ReasonUpstreamEnded
+	return exchanger.ReasonUpstreamTerminated
 }
 
 func (a *attempt) interruptedResult() exchanger.Result {
@@ -216,7 +216,7 @@
 
 func (a *attempt) passResponse(ctx context.Context, p *http.Response) exchanger.Result {
 	r := exchanger.Result{Outcome: exchanger.Answered, Upstream: a.dest.address}
-	head := exchanger.Answer{
+	head := exchanger.Response{
 		Status:   p.StatusCode,
 		Header:   p.Header,
 		Length:   p.ContentLength,
--- a/internal/connection/tracker/upstream.go
+++ b/internal/connection/tracker/upstream.go
@@ -78,7 +78,7 @@
 		Failing:  u.failureShare > failureThreshold && now < u.excludedUntil,
 
 		FailShare:  u.failureShare,
-		BreakShare: u.errorShare,
+		ErrorShare: u.errorShare,
 	}
 }
 
--- a/internal/process/claimer/claimer_test.go
+++ b/internal/process/claimer/claimer_test.go
@@ -175,7 +175,7 @@
 				Service: service, Site: site, Method: http.MethodPost, Header: http.Header{},
 				Target: fmt.Sprintf("/x?Token=%d-%d&Bytes=10", w, i),
 			},
-			Start: func(exchanger.Answer) error { return nil },
+			Start: func(exchanger.Response) error { return nil },
 			Write: func(p []byte) error {
 				_, err := io.Discard.Write(p)
 				return err
--- a/internal/process/follower/follow.go
+++ b/internal/process/follower/follow.go
@@ -122,7 +122,9 @@
 func (f *Follower) newLimits() *limiter.Limiter {
 	return limiter.New(limiter.Options{
 		Tolerance: func() limiter.Tolerance { return limiter.Tolerance{} },
-		Census:    func() limiter.Census { return limiter.Census{Known: 1, Near: 1, Counts: true, Sole: true} },
+		FleetView: func() limiter.FleetView {
+			return limiter.FleetView{Known: 1, Reachable: 1, IsAllocator: true, SingleDaemon: true}
+		},
 		Organisation: func(h hasher.Hash) *authenticator.Organisation {
 			return f.front.Config().Organisations.Known(h)
 		},
--- a/internal/process/heartbeater/limits.go
+++ b/internal/process/heartbeater/limits.go
@@ -8,12 +8,12 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// census is a limiter.Census under construction.
-type census limiter.Census
+// census is a limiter.FleetView under construction.
+type census limiter.FleetView
 
 // Census returns what this member knows of the members that share limits with it.
-func (b *Beater) Census() limiter.Census {
-	return limiter.Census(b.census())
+func (b *Beater) Census() limiter.FleetView {
+	return limiter.FleetView(b.census())
 }
 
 func (b *Beater) census() census {
@@ -21,7 +21,7 @@
 	now := b.Clock.Now()
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	c := census{Known: 1, Near: 1}
+	c := census{Known: 1, Reachable: 1}
 	hears := false
 	best := map[string]*knownMember{}
 	for _, k := range b.members {
@@ -36,13 +36,13 @@
 		}
 		r := k.Site.Region()
 		if r == self.Site.Region() {
-			c.Near++
+			c.Reachable++
 		}
 		if l := best[r]; l == nil || allocatesBefore(k.Member, k.nameHash, l.Member, l.nameHash) {
 			best[r] = k
 		}
 	}
-	c.Alone = c.Known > 1 && !hears
+	c.Isolated = c.Known > 1 && !hears
 	c.setAllocators(self, best)
 	return c
 }
@@ -51,9 +51,9 @@
 func (c *census) setAllocators(self Member, best map[string]*knownMember) {
 	own := self.Site.Region()
 	if l := best[own]; l != nil && allocatesBefore(l.Member, l.nameHash, self, hasher.OfString(self.Name)) {
-		c.Counter = l.Beats
+		c.Allocator = l.Beats
 	}
-	c.Counts = c.Counter == ""
+	c.IsAllocator = c.Allocator == ""
 	for r, l := range best {
 		if r != own {
 			c.Others = append(c.Others, l.Beats)
--- a/internal/process/heartbeater/limits_test.go
+++ b/internal/process/heartbeater/limits_test.go
@@ -34,21 +34,21 @@
 	first, last := n.members["m00"], n.members["m20"]
 	c := first.Census()
 	is.Equal(c.Known, 24)
-	is.Equal(c.Near, 12) // east/a and east/b
+	is.Equal(c.Reachable, 12) // east/a and east/b
 	is.Equal(len(c.Others), 2)
 	last.dead = true
 	n.rounds(5)
 	c = first.Census()
 	is.Equal(c.Known, 24)
-	is.Equal(c.Near, 11)
-	is.True(!c.Alone)
-	is.True(last.Census().Alone)
+	is.Equal(c.Reachable, 11)
+	is.True(!c.Isolated)
+	is.True(last.Census().Isolated)
 }
 
 // allocators returns the members that consider themselves limit allocators.
 func (n *network) allocators() (names []string) {
 	for _, name := range n.names() {
-		if c := n.members[name].Census(); c.Counts && !c.Alone {
+		if c := n.members[name].Census(); c.IsAllocator && !c.Isolated {
 			names = append(names, name)
 		}
 	}
--- a/internal/process/runner/daemon.go
+++ b/internal/process/runner/daemon.go
@@ -119,7 +119,7 @@
 		joiner    *joiner.Joiner
 		leader    *leader.Leader
 		forwarder *forwarder.Forwarder
-		looker    *looker.Looker
+		looker    *looker.Handler
 		changer   *changer.Changer
 		announcer announcer
 		// lastReport is when loads were last reported, and reportedBusy the busy slots
@@ -296,7 +296,7 @@
 	d.links.Serve = d.forwarder.RunLinked
 	d.links.FreeOf = d.owner.Free
 	d.links.Pace = d.paceExport
-	d.looker = &looker.Looker{Snapshot: d.snapshot.Load, Meter: d.meter}
+	d.looker = &looker.Handler{Snapshot: d.snapshot.Load, Meter: d.meter}
 	d.changer = &changer.Changer{
 		Clock:         d.clock,
 		Log:           d.records,
--- a/internal/request/assigner/assigner.go
+++ b/internal/request/assigner/assigner.go
@@ -102,7 +102,7 @@
 	if u == nil {
 		p = a.assignHome(key, h, r, all, now)
 	} else if v := a.reliefTarget(key, u, r, all, now); v != nil {
-		p = a.moveWithReason(Relieved, key, h, v)
+		p = a.moveWithReason(HomeCrowded, key, h, v)
 	}
 	if h = a.homes[key]; h != nil {
 		a.recordUse(h, p.Upstream, now)
@@ -110,8 +110,8 @@
 	return p
 }
 
-// Barred reports whether the home of a key is in a region that is not allowed.
-func (a *Assigner) Barred(key hasher.Hash, all []*cataloger.Upstream, allowed func(region string) bool) bool {
+// HomeNotAllowed reports whether the home of a key is in a region that is not allowed.
+func (a *Assigner) HomeNotAllowed(key hasher.Hash, all []*cataloger.Upstream, allowed func(region string) bool) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	h := a.homes[key]
@@ -148,11 +148,11 @@
 	if h == nil || h.upstream == to.Hash() || !a.takeToken(now) {
 		return Placement{}
 	}
-	return a.moveWithReason(Overflowed, key, h, to)
+	return a.moveWithReason(HomeFull, key, h, to)
 }
 
-// Learn merges homes that another daemon announced.
-func (a *Assigner) Learn(list []Assignment) {
+// Merge merges homes that another daemon announced.
+func (a *Assigner) Merge(list []Assignment) {
 	now := a.Clock.Now()
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -230,7 +230,7 @@
 		return a.moveWithReason(h.lossReason(all), key, h, u)
 	}
 	if len(a.homes) >= MaxKeys {
-		return Placement{Upstream: u, Reason: Unkept}
+		return Placement{Upstream: u, Reason: Untracked}
 	}
 	a.homes[key] = &home{upstream: u.Hash(), version: 1, usedAt: now}
 	a.changes++
--- a/internal/request/assigner/assigner_test.go
+++ b/internal/request/assigner/assigner_test.go
@@ -185,8 +185,8 @@
 	is := is.New(t)
 	f := newFixture(8, 8, 8)
 	a, b := f.assigner("east"), f.assigner("east")
-	a.Announce = func(l []assigner.Assignment) { b.Learn(l) }
-	b.Announce = func(l []assigner.Assignment) { a.Learn(l) }
+	a.Announce = func(l []assigner.Assignment) { b.Merge(l) }
+	b.Announce = func(l []assigner.Assignment) { a.Merge(l) }
 	for i := range 200 {
 		first, second := a, b
 		if i%2 == 1 {
@@ -203,8 +203,8 @@
 		c.Home(key(i), anyRequest, f.all)
 		d.Home(key(49-i), anyRequest, f.all)
 	}
-	c.Learn(ofD)
-	d.Learn(ofC)
+	c.Merge(ofD)
+	d.Merge(ofC)
 	for i := range 50 {
 		is.Equal(c.Home(key(i), anyRequest, f.all).Upstream, d.Home(key(i), anyRequest, f.all).Upstream)
 	}
@@ -286,12 +286,12 @@
 			others = append(others, u)
 		}
 	}
-	a.Visit(key(1), h) // the home itself is not recorded
+	a.RecordVisit(key(1), h) // the home itself is not recorded
 	is.Equal(len(a.Former(nil, key(1), f.all, anyRegion)), 0)
 	for _, u := range others[:4] {
-		a.Visit(key(1), u)
+		a.RecordVisit(key(1), u)
 	}
-	a.Visit(key(1), others[2])
+	a.RecordVisit(key(1), others[2])
 	is.Equal(a.Former(nil, key(1), f.all, anyRegion), []*cataloger.Upstream{others[2], others[3], others[1]})
 	is.Equal(a.Former(nil, key(1), f.all, func(string) bool { return false }), nil)
 	is.Equal(a.Former(nil, key(2), f.all, anyRegion), nil)
--- a/internal/request/assigner/former.go
+++ b/internal/request/assigner/former.go
@@ -8,7 +8,7 @@
 	"github.com/gullvale/gullvale/pkg/hasher"
 )
 
-// FormerLength is the number of upstreams besides its home that a key is remembered to have
+// MaxFormerHomes is the number of upstreams besides its home that a key is remembered to have
 // run at. An upstream caches a few dozen keys, several times the number it is home to, so a
 // key that must leave its home mostly finds an upstream that still knows it among its last
 // three. As in Hint-K (k-step hints for multi-level caches), a short history of moves predicts
@@ -16,16 +16,16 @@
 // upstream, for three times the work: +0.0025 ± 0.0009 of the value of all requests, in 24
 // paired days with faults and load. An age limit on the entries makes no difference: limits of
 // 8 s, 30 s and none gave +0.0020, +0.0022 and +0.0029, ± 0.0012, in 36 days.
-const FormerLength = 3
+const MaxFormerHomes = 3
 
 // formerHomes are hashes of upstreams, the latest first; 0 marks an unused element.
-type formerHomes [FormerLength]hasher.Hash
+type formerHomes [MaxFormerHomes]hasher.Hash
 
 // record moves an upstream to the front, or adds it there.
 func (f *formerHomes) record(upstream hasher.Hash) {
 	i := slices.Index(f[:], upstream)
 	if i < 0 {
-		i = FormerLength - 1
+		i = MaxFormerHomes - 1
 	}
 	copy(f[1:i+1], f[:i])
 	f[0] = upstream
@@ -46,16 +46,16 @@
 	return l
 }
 
-// Knows reports whether an upstream other than its home ran a key recently.
-func (a *Assigner) Knows(key hasher.Hash, u *cataloger.Upstream) bool {
+// RanAt reports whether an upstream other than its home ran a key recently.
+func (a *Assigner) RanAt(key hasher.Hash, u *cataloger.Upstream) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	h := a.homes[key]
 	return h != nil && h.formerHomes.contains(u.Hash())
 }
 
-// Visit records that a key runs at an upstream that is not its home.
-func (a *Assigner) Visit(key hasher.Hash, u *cataloger.Upstream) {
+// RecordVisit records that a key runs at an upstream that is not its home.
+func (a *Assigner) RecordVisit(key hasher.Hash, u *cataloger.Upstream) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	if h := a.homes[key]; h != nil && h.upstream != u.Hash() {
--- a/internal/request/assigner/load_test.go
+++ b/internal/request/assigner/load_test.go
@@ -149,7 +149,7 @@
 				list = append(list, u)
 			}
 		}
-		i, _, move := placer.Placer{}.ChooseHomed(states(list), true)
+		i, _, move := placer.Placer{}.ChooseWithHome(states(list), true)
 		if i < 0 || move && a.Move(k, list[i]).Upstream == nil {
 			return nil
 		}
--- a/internal/request/assigner/placement.go
+++ b/internal/request/assigner/placement.go
@@ -33,26 +33,26 @@
 	AtHome Reason = "home"
 	// NewKey means that the key had no known home and was assigned one.
 	NewKey Reason = "new key"
-	// Unkept means that the key exceeds MaxKeys and is placed by its hash.
-	Unkept Reason = "unkept key"
-	// Relieved means that the key moved from a crowded home.
-	Relieved Reason = "crowded home"
-	// Displaced means that the key's home no longer takes requests.
-	Displaced Reason = "home gone"
-	// Barred means that the key's home is in a region where the route may not run now.
-	Barred Reason = "home not allowed"
-	// Overflowed means that the key moved from a home with too many requests.
-	Overflowed Reason = "home full"
-	// Visiting means that the request runs at another upstream because its key's home is down,
+	// Untracked means that the key exceeds MaxKeys and is placed by its hash.
+	Untracked Reason = "unkept key"
+	// HomeCrowded means that the key moved from a crowded home.
+	HomeCrowded Reason = "crowded home"
+	// HomeGone means that the key's home no longer takes requests.
+	HomeGone Reason = "home gone"
+	// HomeNotAllowed means that the key's home is in a region where the route may not run now.
+	HomeNotAllowed Reason = "home not allowed"
+	// HomeFull means that the key moved from a home with too many requests.
+	HomeFull Reason = "home full"
+	// HomePassedOver means that the request runs at another upstream because its key's home is down,
 	// failing or cold. The home does not change.
-	Visiting Reason = "home passed over"
-	// Repeated means a retry at another upstream, after an attempt that was refused or broke.
-	Repeated Reason = "repeat elsewhere"
-	// RepeatedThere means a retry at the upstream that refused the previous attempt.
-	RepeatedThere Reason = "repeat there"
-	// Keyless means that the request has no key, or its route does not use homes: it is placed
+	HomePassedOver Reason = "home passed over"
+	// RetriedElsewhere means a retry at another upstream, after an attempt that was refused or broke.
+	RetriedElsewhere Reason = "repeat elsewhere"
+	// RetriedThere means a retry at the upstream that refused the previous attempt.
+	RetriedThere Reason = "repeat there"
+	// NoKey means that the request has no key, or its route does not use homes: it is placed
 	// by its hash.
-	Keyless Reason = "no key"
+	NoKey Reason = "no key"
 	// Isolated means that the request crashed upstreams before: it is placed by its own hash,
 	// away from other requests of its key.
 	Isolated Reason = "suspect"
@@ -87,9 +87,9 @@
 // lossReason returns why a key can't stay at its home.
 func (h *home) lossReason(all []*cataloger.Upstream) Reason {
 	if findUpstream(all, h.upstream, anyRegion) != nil {
-		return Barred
+		return HomeNotAllowed
 	}
-	return Displaced
+	return HomeGone
 }
 
 func anyRegion(string) bool { return true }
--- a/internal/request/assigner/placement_test.go
+++ b/internal/request/assigner/placement_test.go
@@ -29,10 +29,10 @@
 
 	rest := without(f.all, first.Upstream)
 	second := a.Home(key(1), anyRequest, rest)
-	is.Equal(second, assigner.Placement{Upstream: second.Upstream, Reason: assigner.Displaced, Left: first.Upstream})
+	is.Equal(second, assigner.Placement{Upstream: second.Upstream, Reason: assigner.HomeGone, Left: first.Upstream})
 
 	back := a.Home(key(1), anyRequest, without(f.all, second.Upstream))
-	is.Equal(back, assigner.Placement{Upstream: first.Upstream, Reason: assigner.Displaced, Former: true, Left: second.Upstream})
+	is.Equal(back, assigner.Placement{Upstream: first.Upstream, Reason: assigner.HomeGone, Former: true, Left: second.Upstream})
 	is.Equal(back.Kind(), "home gone, former home")
 
 	is.Equal(a.Home(key(1), anyRequest, nil), assigner.Placement{})
@@ -45,9 +45,9 @@
 	f := newFixture(4)
 	a := f.assigner("east")
 	gone := f.all[0]
-	a.Learn([]assigner.Assignment{{Key: key(1), Upstream: gone.Hash(), Version: 1}})
+	a.Merge([]assigner.Assignment{{Key: key(1), Upstream: gone.Hash(), Version: 1}})
 	p := a.Home(key(1), anyRequest, without(f.all, gone))
-	is.Equal(p, assigner.Placement{Upstream: p.Upstream, Reason: assigner.Displaced})
+	is.Equal(p, assigner.Placement{Upstream: p.Upstream, Reason: assigner.HomeGone})
 }
 
 func TestPlacementOfBarredHome(t *testing.T) {
@@ -58,7 +58,7 @@
 	elsewhere := anyRequest
 	elsewhere.Allowed = func(region string) bool { return region != was.Site.Region() }
 	p := a.Home(key(1), elsewhere, f.all)
-	is.Equal(p, assigner.Placement{Upstream: p.Upstream, Reason: assigner.Barred, Left: was})
+	is.Equal(p, assigner.Placement{Upstream: p.Upstream, Reason: assigner.HomeNotAllowed, Left: was})
 	is.True(p.Upstream.Site.Region() != was.Site.Region())
 }
 
@@ -70,10 +70,10 @@
 	other := without(f.all, home)[0]
 	is.Equal(a.Move(key(1), home), assigner.Placement{}) // it lives there
 	f.now += 1000
-	is.Equal(a.Move(key(1), other), assigner.Placement{Upstream: other, Reason: assigner.Overflowed, Left: home})
+	is.Equal(a.Move(key(1), other), assigner.Placement{Upstream: other, Reason: assigner.HomeFull, Left: home})
 	is.Equal(a.Home(key(1), anyRequest, f.all).Reason, assigner.AtHome)
 	f.now += 1000
-	is.Equal(a.Move(key(1), home), assigner.Placement{Upstream: home, Reason: assigner.Overflowed, Former: true, Left: other})
+	is.Equal(a.Move(key(1), home), assigner.Placement{Upstream: home, Reason: assigner.HomeFull, Former: true, Left: other})
 }
 
 // TestPlacementOfRelief starts with all keys at one of four upstreams: some of them move.
@@ -86,12 +86,12 @@
 	for i := range 40 {
 		crowd = append(crowd, assigner.Assignment{Key: key(i), Upstream: hot.Hash(), Version: 1})
 	}
-	a.Learn(crowd)
+	a.Merge(crowd)
 	relieved := 0
 	for i := range 40 {
 		f.now += 100
 		p := a.Home(key(i), anyRequest, f.all)
-		if p.Reason == assigner.Relieved {
+		if p.Reason == assigner.HomeCrowded {
 			relieved++
 			is.True(p.Upstream != hot)
 			continue
@@ -108,5 +108,5 @@
 	for i := range assigner.MaxKeys {
 		is.Equal(a.Home(key(i), anyRequest, f.all).Reason, assigner.NewKey)
 	}
-	is.Equal(a.Home(key(assigner.MaxKeys), anyRequest, f.all).Reason, assigner.Unkept)
+	is.Equal(a.Home(key(assigner.MaxKeys), anyRequest, f.all).Reason, assigner.Untracked)
 }
--- a/internal/request/assigner/shed_test.go
+++ b/internal/request/assigner/shed_test.go
@@ -49,12 +49,12 @@
 		x := s.known.Of(u).State(u)
 		x.Reported = float64(len(m.running) + len(m.queue))
 		if s.leavesHome {
-			x.Tried = u == refused
+			x.Attempted = u == refused
 			x.FailShare = float64(1 - min(i, 1))
 		}
 		states = append(states, x)
 	}
-	i, _, move := placer.Placer{}.ChooseHomed(states, true)
+	i, _, move := placer.Placer{}.ChooseWithHome(states, true)
 	if i < 0 || move && s.homes.Move(k, list[i]).Upstream == nil {
 		return nil
 	}
--- a/internal/request/assigner/without_test.go
+++ b/internal/request/assigner/without_test.go
@@ -74,7 +74,7 @@
 	home := a.Home(key(1), anyRequest, f.all).Upstream
 	for _, u := range f.all {
 		if u != home {
-			a.Visit(key(1), u)
+			a.RecordVisit(key(1), u)
 		}
 	}
 	return len(a.Former(nil, key(1), f.all, anyRegion))
--- a/internal/request/dispatcher/choose.go
+++ b/internal/request/dispatcher/choose.go
@@ -12,7 +12,7 @@
 // maxCandidates bounds the upstreams considered for a request: its key's home, those that ran
 // the key before, those that the key's hash prefers, and as many replacements if none of these
 // can be reached.
-const maxCandidates = 1 + assigner.FormerLength + 2*placer.ListLength
+const maxCandidates = 1 + assigner.MaxFormerHomes + 2*placer.MaxCandidates
 
 // chooseUpstream chooses the upstream of the next attempt.
 func (x *exchange) chooseUpstream() (*cataloger.Upstream, placer.Verdict) {
@@ -35,11 +35,11 @@
 		// Most requests are placed here. Searching for more candidates takes time proportional
 		// to the number of upstreams of the service.
 		state := x.state(home)
-		state.Knows = true
-		if x.d.placer().Judge(state, x.hasTopRank()) == placer.Fit && x.acquireWarmupRoom(home) {
+		state.KnowsKey = true
+		if x.d.placer().Check(state, x.hasTopRank()) == placer.Accepts && x.acquireWarmupRoom(home) {
 			x.recordChoice(home, state)
 			x.recordPlacement(home)
-			return home, placer.Fit
+			return home, placer.Accepts
 		}
 		list = x.d.Homes.Former(list, x.key, all, x.allowsRegion)
 	}
@@ -60,9 +60,9 @@
 			x.recordChoice(list[i], states[i])
 			x.recordPlacement(list[i])
 			if x.hasHome() {
-				x.d.Homes.Visit(x.key, list[i])
+				x.d.Homes.RecordVisit(x.key, list[i])
 			}
-			return list[i], placer.Fit
+			return list[i], placer.Accepts
 		case i >= 0:
 			// Another request has taken the last warm-up room in the meantime.
 			states[i].Cold = true
@@ -110,7 +110,7 @@
 	if !x.hasHome() {
 		return x.d.placer().Choose(states, x.hasTopRank())
 	}
-	i, verdict, move := x.d.placer().ChooseHomed(states, x.hasTopRank())
+	i, verdict, move := x.d.placer().ChooseWithHome(states, x.hasTopRank())
 	if !move {
 		return i, verdict
 	}
@@ -130,7 +130,7 @@
 	reachable := false
 	for i, u := range list {
 		states[i] = x.state(u)
-		states[i].Knows = i < known
+		states[i].KnowsKey = i < known
 		reachable = reachable || states[i].Reachable()
 	}
 	return reachable
@@ -154,8 +154,8 @@
 // appendCandidates appends to l, which may hold the key's home, those upstreams accepted by
 // accept that the hash of the request's key prefers.
 func (x *exchange) appendCandidates(l, all []*cataloger.Upstream, accept func(*cataloger.Upstream) bool) []*cataloger.Upstream {
-	var space [placer.ListLength]*cataloger.Upstream
-	for _, u := range placer.ListOf(space[:0], x.placementKey(), all, accept) {
+	var space [placer.MaxCandidates]*cataloger.Upstream
+	for _, u := range placer.CandidatesWhere(space[:0], x.placementKey(), all, accept) {
 		if !slices.Contains(l, u) && len(l) < cap(l) {
 			l = append(l, u)
 		}
@@ -171,8 +171,8 @@
 func (x *exchange) state(u *cataloger.Upstream) placer.State {
 	t := x.d.Upstreams.Of(u)
 	s := t.State(u)
-	s.Tried = slices.Contains(x.attempted, u.Incarnation()) && !x.refusedWithCapacity(u, s) || x.failedToDial(u)
-	if !s.Tried && u.Cold(x.d.Clock.Now()) {
+	s.Attempted = slices.Contains(x.attempted, u.Incarnation()) && !x.refusedWithCapacity(u, s) || x.failedToDial(u)
+	if !s.Attempted && u.Cold(x.d.Clock.Now()) {
 		s.Cold = x.d.MayWarm == nil || !x.d.MayWarm(u, t)
 	}
 	return s
--- a/internal/request/dispatcher/identify.go
+++ b/internal/request/dispatcher/identify.go
@@ -80,7 +80,7 @@
 // the common home would move back and forth between their requests.
 func (x *exchange) bindKey(all []*cataloger.Upstream) {
 	x.key = x.sharedKey
-	if b := x.organisation.Bound(); b != 0 && x.d.Homes.Barred(x.key, all, x.allowsRegion) {
+	if b := x.organisation.Bound(); b != 0 && x.d.Homes.HomeNotAllowed(x.key, all, x.allowsRegion) {
 		x.key = hasher.Mix(x.key, b)
 	}
 }
--- a/internal/request/dispatcher/limit.go
+++ b/internal/request/dispatcher/limit.go
@@ -25,7 +25,7 @@
 	case limiter.Admitted:
 		x.chargedTo = o
 		return true
-	case limiter.Over:
+	case limiter.OverLimit:
 		x.refuseNotRun(http.StatusTooManyRequests, x.withPriorReason(reasonOverLimit), v.After)
 	default:
 		x.refuseNotRun(http.StatusServiceUnavailable, x.withPriorReason(reasonLimitUnknown), v.After)
--- a/internal/request/dispatcher/limit_test.go
+++ b/internal/request/dispatcher/limit_test.go
@@ -25,7 +25,7 @@
 	now := timekeeper.Hour
 	s.Limits = limiter.New(limiter.Options{
 		Tolerance:    func() limiter.Tolerance { return limiter.Tolerance{Window: 5000} },
-		Census:       func() limiter.Census { return limiter.Census{Known: 1, Near: 1, Counts: true} },
+		FleetView:    func() limiter.FleetView { return limiter.FleetView{Known: 1, Reachable: 1, IsAllocator: true} },
 		Organisation: func(h hasher.Hash) *authenticator.Organisation { return s.Config().Organisations.Known(h) },
 		Send:         func(limiter.Envelope) {},
 		Clock:        timekeeper.Clock{Monotonic: func() timekeeper.Millis { return now }},
--- a/internal/request/dispatcher/placement.go
+++ b/internal/request/dispatcher/placement.go
@@ -17,16 +17,16 @@
 	case x.isolated():
 		p.Reason = assigner.Isolated
 	case len(x.attempted) > 0 && x.attempted[len(x.attempted)-1] == u.Incarnation():
-		p.Reason = assigner.RepeatedThere
+		p.Reason = assigner.RetriedThere
 	case len(x.attempted) > 0:
-		p.Reason = assigner.Repeated
+		p.Reason = assigner.RetriedElsewhere
 	case !x.hasHome():
-		p.Reason = assigner.Keyless
+		p.Reason = assigner.NoKey
 	case u == x.homePlacement.Upstream:
 		return x.homePlacement
 	default:
-		p.Reason = assigner.Visiting
-		p.Former = x.d.Homes.Knows(x.key, u)
+		p.Reason = assigner.HomePassedOver
+		p.Former = x.d.Homes.RanAt(x.key, u)
 	}
 	return p
 }
--- a/internal/request/dispatcher/placement_test.go
+++ b/internal/request/dispatcher/placement_test.go
@@ -67,7 +67,7 @@
 	is.Equal(decision.Outcome, "answered")
 	is.Equal(decision.Upstream, cataloger.UpstreamID("u2"))
 	is.Equal(decision.Tries, 2)
-	is.Equal(decision.Placement.Reason, assigner.Repeated)
+	is.Equal(decision.Placement.Reason, assigner.RetriedElsewhere)
 }
 
 // TestPlacementBesideTheHome has the key's home turn cold. Its requests run elsewhere, the
--- a/internal/request/exchanger/exchange.go
+++ b/internal/request/exchanger/exchange.go
@@ -21,34 +21,34 @@
 
 // The reasons for outcomes other than Answered.
 const (
-	ReasonNone           Reason = ""
-	ReasonQueueFull      Reason = "queue full"
-	ReasonDeadline       Reason = "deadline"
-	ReasonEntryFull      Reason = "too many requests at the entry"
-	ReasonAtLimit        Reason = "site at its limit"
-	ReasonNoTime         Reason = "no slot in time"
-	ReasonCancelled      Reason = "cancelled"
-	ReasonNoUpstream     Reason = "no upstream"
-	ReasonNotOwner       Reason = "not the owner"
-	ReasonNoEntry        Reason = "no entry for the site"
-	ReasonUpstreamDial   Reason = "upstream not reached"
-	ReasonUpstreamLost   Reason = "upstream connection lost"
-	ReasonUpstreamEnded  Reason = "upstream ended"
-	ReasonUpstreamBusy   Reason = "upstream refused"
-	ReasonQuarantined    Reason = "quarantined"
-	ReasonLinkDial       Reason = "link not reached"
-	ReasonLinkLost       Reason = "link lost"
-	ReasonBody           Reason = "body not received whole"
-	ReasonBodyTooLarge   Reason = "body too large"
-	ReasonStopping       Reason = "stopping"
-	ReasonPaused         Reason = "membership lapsed"
-	ReasonUnknownService Reason = "unknown service"
-	ReasonBadRequest     Reason = "bad request"
-	ReasonHomeLost       Reason = "home of the key lost"
-	ReasonKeyReused      Reason = "key used for another request"
-	ReasonKeysFull       Reason = "too many keys"
-	ReasonKeyAbsent      Reason = "key not known"
-	ReasonNotKept        Reason = "answer not kept"
+	ReasonNone                Reason = ""
+	ReasonQueueFull           Reason = "queue full"
+	ReasonDeadline            Reason = "deadline"
+	ReasonEntryFull           Reason = "too many requests at the entry"
+	ReasonAtLimit             Reason = "site at its limit"
+	ReasonNoSlotInTime        Reason = "no slot in time"
+	ReasonCancelled           Reason = "cancelled"
+	ReasonNoUpstream          Reason = "no upstream"
+	ReasonNotOwner            Reason = "not the owner"
+	ReasonNoEntry             Reason = "no entry for the site"
+	ReasonUpstreamUnreachable Reason = "upstream not reached"
+	ReasonUpstreamLost        Reason = "upstream connection lost"
+	ReasonUpstreamTerminated  Reason = "upstream ended"
+	ReasonUpstreamRefused     Reason = "upstream refused"
+	ReasonQuarantined         Reason = "quarantined"
+	ReasonLinkUnreachable     Reason = "link not reached"
+	ReasonLinkLost            Reason = "link lost"
+	ReasonBodyIncomplete      Reason = "body not received whole"
+	ReasonBodyTooLarge        Reason = "body too large"
+	ReasonStopping            Reason = "stopping"
+	ReasonMembershipExpired   Reason = "membership lapsed"
+	ReasonUnknownService      Reason = "unknown service"
+	ReasonBadRequest          Reason = "bad request"
+	ReasonKeyHomeLost         Reason = "home of the key lost"
+	ReasonKeyReused           Reason = "key used for another request"
+	ReasonKeysFull            Reason = "too many keys"
+	ReasonKeyUnknown          Reason = "key not known"
+	ReasonResponseNotKept     Reason = "answer not kept"
 )
 
 type (
@@ -80,8 +80,8 @@
 		Deadline timekeeper.Millis
 	}
 
-	// Answer is the head of an upstream's response.
-	Answer struct {
+	// Response is the head of an upstream's response.
+	Response struct {
 		Status   int
 		Header   http.Header
 		Length   int64
@@ -101,9 +101,9 @@
 		Key  string
 		Held bool
 		Look bool
-		// FirstTry reports that the caller sends the key for the first time, so that a call
+		// FirstAttempt reports that the caller sends the key for the first time, so that a call
 		// which was handed to no daemon did not run.
-		FirstTry bool
+		FirstAttempt bool
 		// Detour reports that the call's own site does not serve it. The site that it is sent
 		// to may refuse it to stay below its own limit.
 		Detour bool
@@ -111,13 +111,13 @@
 		// BodyReady reports that it comes directly from the caller.
 		Body      io.Reader
 		BodyReady bool
-		// Short holds the whole body if it is short, so that a refused attempt costs no extra
+		// ShortBody holds the whole body if it is short, so that a refused attempt costs no extra
 		// round trip. Body is nil then.
-		Short []byte
+		ShortBody []byte
 		// Admitted is called once a slot is acquired, before anything is sent.
 		Admitted func()
 		// Start receives the head of the response.
-		Start func(Answer) error
+		Start func(Response) error
 		// Write receives a part of the response body.
 		Write func([]byte) error
 		// Trailer receives the trailers, if there are any.
--- a/internal/request/forwarder/answer.go
+++ b/internal/request/forwarder/answer.go
@@ -20,7 +20,7 @@
 }
 
 // writeHead forwards the status and header of an upstream's response.
-func (x *exchange) writeHead(a exchanger.Answer) error {
+func (x *exchange) writeHead(a exchanger.Response) error {
 	h := x.writer.Header()
 	RemoveHop(a.Header)
 	for n, v := range a.Header {
@@ -84,7 +84,7 @@
 		return http.StatusNotFound
 	case exchanger.ReasonKeyReused:
 		return http.StatusUnprocessableEntity
-	case exchanger.ReasonNotKept:
+	case exchanger.ReasonResponseNotKept:
 		return http.StatusGone
 	}
 	if r.Outcome == exchanger.NotRun {
--- a/internal/request/forwarder/body.go
+++ b/internal/request/forwarder/body.go
@@ -43,7 +43,7 @@
 func (x *exchange) readShortBody(c *exchanger.Call, limit int64) bool {
 	head, err := io.ReadAll(io.LimitReader(x.request.Body, min(maxBufferedBody, limit)+1))
 	if err != nil {
-		x.reject(http.StatusBadRequest, exchanger.ReasonBody, "the request body is incomplete")
+		x.reject(http.StatusBadRequest, exchanger.ReasonBodyIncomplete, "the request body is incomplete")
 		return false
 	}
 	if int64(len(head)) > limit {
@@ -52,7 +52,7 @@
 		return false
 	}
 	if len(head) <= maxBufferedBody {
-		c.Short = head
+		c.ShortBody = head
 		c.Length = int64(len(head))
 		return true
 	}
--- a/internal/request/forwarder/detour.go
+++ b/internal/request/forwarder/detour.go
@@ -92,7 +92,7 @@
 		return false
 	}
 	switch r.Reason {
-	case exchanger.ReasonNoUpstream, exchanger.ReasonNoEntry, exchanger.ReasonLinkDial:
+	case exchanger.ReasonNoUpstream, exchanger.ReasonNoEntry, exchanger.ReasonLinkUnreachable:
 		return true
 	}
 	return false
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -198,10 +198,10 @@
 			Length:   r.ContentLength,
 			Deadline: deadline,
 		},
-		FirstTry: r.Header.Get(HeaderFirstTry) != "",
-		Start:    x.writeHead,
-		Write:    x.writeBody,
-		Trailer:  x.writeTrailer,
+		FirstAttempt: r.Header.Get(HeaderFirstTry) != "",
+		Start:        x.writeHead,
+		Write:        x.writeBody,
+		Trailer:      x.writeTrailer,
 	}
 	return c, x.setBody(c)
 }
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -65,7 +65,7 @@
 func call(method string) *exchanger.Call {
 	return &exchanger.Call{
 		Head:  exchanger.Head{Service: service, Site: site, Method: method, Target: "/x", Host: "s", Header: http.Header{}},
-		Start: func(exchanger.Answer) error { return nil },
+		Start: func(exchanger.Response) error { return nil },
 		Write: func([]byte) error { return nil },
 	}
 }
@@ -83,7 +83,7 @@
 			})
 			c := &exchanger.Call{
 				Head:  exchanger.Head{Service: service, Site: site, Method: method, Target: "/x", Host: "s", Header: http.Header{}},
-				Start: func(exchanger.Answer) error { return nil },
+				Start: func(exchanger.Response) error { return nil },
 				Write: func([]byte) error { return nil },
 			}
 			r := f.RunLinked(context.Background(), c, true)
--- a/internal/request/forwarder/keyed.go
+++ b/internal/request/forwarder/keyed.go
@@ -84,7 +84,7 @@
 	h, ok := f.home(f.Snapshot(), keykeeper.Key(c.Key))
 	if !c.Held && (!ok || h.Incarnation != f.Self().Incarnation) {
 		// The sender knows other rosters. Neither daemon may run the call before they agree.
-		return exchanger.Lost(exchanger.ReasonHomeLost, "")
+		return exchanger.Lost(exchanger.ReasonKeyHomeLost, "")
 	}
 	return f.runAtHome(ctx, c, s, keykeeper.Key(c.Key))
 }
@@ -93,10 +93,10 @@
 // is unreachable. This attempt did not run, but the key may have run there before, unless this
 // is its first attempt.
 func homeLost(c *exchanger.Call) exchanger.Result {
-	if c.FirstTry {
-		return exchanger.Refused(exchanger.ReasonHomeLost, 0)
+	if c.FirstAttempt {
+		return exchanger.Refused(exchanger.ReasonKeyHomeLost, 0)
 	}
-	return exchanger.Lost(exchanger.ReasonHomeLost, "")
+	return exchanger.Lost(exchanger.ReasonKeyHomeLost, "")
 }
 
 // handOver hands a call over to the daemon that is, or was, the home of its key.
@@ -108,7 +108,7 @@
 		return homeLost(c)
 	}
 	r := p.Run(ctx, c, true)
-	if r.Outcome == exchanger.NotRun && r.Reason == exchanger.ReasonLinkDial {
+	if r.Outcome == exchanger.NotRun && r.Reason == exchanger.ReasonLinkUnreachable {
 		return homeLost(c)
 	}
 	return r
@@ -123,7 +123,7 @@
 		return exchanger.Refused(exchanger.ReasonKeyReused, 0)
 	case keykeeper.Full:
 		return exchanger.Refused(exchanger.ReasonKeysFull, timekeeper.Second)
-	case keykeeper.Repeated:
+	case keykeeper.Duplicate:
 		f.count("keys_repeated", c, "")
 		return f.replay(ctx, c, r)
 	}
@@ -136,11 +136,11 @@
 
 // printOfCall returns a hash that distinguishes the request of a call from others. Of a
 // streamed body only the length is included, since its content is not available.
-func printOfCall(c *exchanger.Call) keykeeper.Print {
+func printOfCall(c *exchanger.Call) keykeeper.Fingerprint {
 	if c.Body != nil {
-		return keykeeper.PrintOf(c.Method, c.Target, strconv.AppendInt(nil, c.Length, 10))
+		return keykeeper.FingerprintOf(c.Method, c.Target, strconv.AppendInt(nil, c.Length, 10))
 	}
-	return keykeeper.PrintOf(c.Method, c.Target, c.Short)
+	return keykeeper.FingerprintOf(c.Method, c.Target, c.ShortBody)
 }
 
 // settleAtFormerHome asks the daemons that may have been the home of a caller's key within the
@@ -152,23 +152,23 @@
 	}
 	view := f.Snapshot().View
 	now := f.Clock.WallNow()
-	for _, i := range view.Homes(string(key), now-f.Keys.Kept(), now) {
+	for _, i := range view.Homes(string(key), now-f.Keys.RetentionPeriod(), now) {
 		if i == f.Self().Incarnation {
 			continue
 		}
 		m, ok := view.Find(i)
 		if !ok {
-			return exchanger.Lost(exchanger.ReasonHomeLost, ""), true
+			return exchanger.Lost(exchanger.ReasonKeyHomeLost, ""), true
 		}
 		look := &exchanger.Call{Head: exchanger.Head{ID: c.ID, Deadline: c.Deadline}, Key: string(key), Look: true}
 		switch r := f.handOver(ctx, look, m); r.Reason {
-		case exchanger.ReasonKeyAbsent:
+		case exchanger.ReasonKeyUnknown:
 			continue
 		case exchanger.ReasonNone:
 			c.Held = true
 			return f.handOver(ctx, c, m), true
 		}
-		return exchanger.Lost(exchanger.ReasonHomeLost, ""), true
+		return exchanger.Lost(exchanger.ReasonKeyHomeLost, ""), true
 	}
 	return exchanger.Result{}, false
 }
@@ -183,7 +183,7 @@
 	rec.Attach(c)
 	ignoreWriteErrors(c)
 	result := exchanger.Result{Outcome: exchanger.Unknown, Reason: exchanger.ReasonLinkLost}
-	defer func() { f.Keys.End(key, r, result, rec.Answer(result)) }()
+	defer func() { f.Keys.End(key, r, result, rec.Response(result)) }()
 	result = f.run(context.WithoutCancel(ctx), c, s)
 	return result
 }
@@ -192,7 +192,7 @@
 func ignoreWriteErrors(c *exchanger.Call) {
 	start, write := c.Start, c.Write
 	gone := false
-	c.Start = func(a exchanger.Answer) error {
+	c.Start = func(a exchanger.Response) error {
 		gone = start(a) != nil
 		return nil
 	}
@@ -218,9 +218,9 @@
 	case result.Outcome != exchanger.Answered:
 		return result
 	case answer == nil:
-		return exchanger.Result{Outcome: exchanger.Answered, Reason: exchanger.ReasonNotKept, Upstream: result.Upstream}
+		return exchanger.Result{Outcome: exchanger.Answered, Reason: exchanger.ReasonResponseNotKept, Upstream: result.Upstream}
 	}
-	a := answer.Answer
+	a := answer.Response
 	a.Header = a.Header.Clone()
 	a.Header.Set(HeaderReplayed, "1")
 	if c.Start(a) != nil {
@@ -247,7 +247,7 @@
 	switch {
 	case !ok:
 		a.Outcome = exchanger.Unknown.String()
-		a.Reason = string(exchanger.ReasonHomeLost)
+		a.Reason = string(exchanger.ReasonKeyHomeLost)
 	case h.Incarnation != f.Self().Incarnation:
 		http.Redirect(w, r, "http://"+h.Callers+r.URL.RequestURI(), http.StatusTemporaryRedirect)
 		return
@@ -260,7 +260,7 @@
 
 // lookUpLinked responds to another daemon that asks whether a key is held here.
 func (f *Forwarder) lookUpLinked(key keykeeper.Key) exchanger.Result {
-	state, result := f.Keys.Look(key)
+	state, result := f.Keys.Lookup(key)
 	switch state {
 	case keykeeper.Running:
 		return exchanger.Lost(exchanger.ReasonNone, "")
@@ -268,11 +268,11 @@
 		result.Reason = exchanger.ReasonNone
 		return result
 	}
-	return exchanger.Refused(exchanger.ReasonKeyAbsent, 0)
+	return exchanger.Refused(exchanger.ReasonKeyUnknown, 0)
 }
 
 func (f *Forwarder) lookUp(a *OutcomeAnswer, key keykeeper.Key) {
-	state, result := f.Keys.Look(key)
+	state, result := f.Keys.Lookup(key)
 	switch state {
 	case keykeeper.Running:
 		a.State = "running"
--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -91,7 +91,7 @@
 	if t.fingerprint != nil {
 		return *t.fingerprint, true
 	}
-	body := t.call.Short
+	body := t.call.ShortBody
 	if t.body != nil {
 		prefix, whole := t.body.prefix()
 		if !whole {
@@ -131,7 +131,7 @@
 	if f.Quarantine == nil {
 		return
 	}
-	crashed := r.Reason == exchanger.ReasonUpstreamEnded
+	crashed := r.Reason == exchanger.ReasonUpstreamTerminated
 	innocent := r.Outcome == exchanger.Answered && r.Whole && t.status < http.StatusInternalServerError
 	if !crashed && (!innocent || !f.Quarantine.HasSuspects()) {
 		return
@@ -152,6 +152,6 @@
 	if c.Body != nil || !f.anySuspects() {
 		return exchanger.Result{}, false
 	}
-	left, held := f.Quarantine.Remaining(fingerprint(c, c.Short))
+	left, held := f.Quarantine.Remaining(fingerprint(c, c.ShortBody))
 	return exchanger.Refused(exchanger.ReasonQuarantined, left), held
 }
--- a/internal/request/forwarder/route.go
+++ b/internal/request/forwarder/route.go
@@ -91,7 +91,7 @@
 		t.call.Body = t.body
 	}
 	start := t.call.Start
-	t.call.Start = func(a exchanger.Answer) error {
+	t.call.Start = func(a exchanger.Response) error {
 		t.started, t.status = true, a.Status
 		return start(a)
 	}
@@ -130,7 +130,7 @@
 // well, 27 to 64 of 100 concurrent requests were refused.
 func reachedUpstream(r exchanger.Result) bool {
 	switch r.Reason {
-	case exchanger.ReasonNotOwner, exchanger.ReasonLinkDial, exchanger.ReasonStopping, exchanger.ReasonNoEntry:
+	case exchanger.ReasonNotOwner, exchanger.ReasonLinkUnreachable, exchanger.ReasonStopping, exchanger.ReasonNoEntry:
 		return false
 	}
 	return true
@@ -140,8 +140,8 @@
 // or later.
 func retryable(r exchanger.Reason) bool {
 	switch r {
-	case exchanger.ReasonNotOwner, exchanger.ReasonLinkDial, exchanger.ReasonUpstreamDial,
-		exchanger.ReasonUpstreamBusy, exchanger.ReasonPaused, exchanger.ReasonNoUpstream,
+	case exchanger.ReasonNotOwner, exchanger.ReasonLinkUnreachable, exchanger.ReasonUpstreamUnreachable,
+		exchanger.ReasonUpstreamRefused, exchanger.ReasonMembershipExpired, exchanger.ReasonNoUpstream,
 		exchanger.ReasonStopping, exchanger.ReasonNoEntry:
 		return true
 	}
@@ -172,7 +172,7 @@
 // recordAttempt records that a daemon was asked. If its upstream could not be dialled, the
 // daemon may be asked again: it has taken that upstream out of use.
 func (t *attempts) recordAttempt(i registrar.Incarnation, r exchanger.Result) {
-	t.attempted[i] = r.Reason != exchanger.ReasonUpstreamDial
+	t.attempted[i] = r.Reason != exchanger.ReasonUpstreamUnreachable
 }
 
 // chooseCandidate returns the daemon to run the call: this one while it has a free slot, else
--- a/internal/request/keykeeper/keeper.go
+++ b/internal/request/keykeeper/keeper.go
@@ -42,8 +42,8 @@
 const (
 	// Begun means that the caller of Begin runs the request and must call End.
 	Begun BeginResult = iota
-	// Repeated means that the key is known; its record is returned.
-	Repeated
+	// Duplicate means that the key is known; its record is returned.
+	Duplicate
 	// Mismatch means that the key was used for another request.
 	Mismatch
 	// Full means that there is no room for another key.
@@ -60,8 +60,8 @@
 	// BeginResult is the result of Begin.
 	BeginResult uint8
 
-	// Print is a hash that distinguishes requests with the same key.
-	Print uint64
+	// Fingerprint is a hash that distinguishes requests with the same key.
+	Fingerprint uint64
 
 	// Keeper stores keys. The zero value is ready to use.
 	Keeper struct {
@@ -84,7 +84,7 @@
 
 	// Record holds the state and outcome of a key's request.
 	Record struct {
-		fingerprint Print
+		fingerprint Fingerprint
 		done        chan struct{}
 		expires     timekeeper.Millis
 
@@ -95,22 +95,22 @@
 
 	// Response is a kept response.
 	Response struct {
-		exchanger.Answer
+		exchanger.Response
 		Body []byte
 	}
 )
 
-// PrintOf returns the Print of a request.
-func PrintOf(method, target string, body []byte) Print {
+// FingerprintOf returns the Fingerprint of a request.
+func FingerprintOf(method, target string, body []byte) Fingerprint {
 	d := xxhash.New()
 	_, _ = d.WriteString(method + " " + target + "\n")
 	_, _ = d.Write(body)
-	return Print(d.Sum64())
+	return Fingerprint(d.Sum64())
 }
 
 // Begin claims a key for a request. Only one claim of a key succeeds, until it ends as not run
 // or its retention is over.
-func (k *Keeper) Begin(key Key, p Print) (*Record, BeginResult) {
+func (k *Keeper) Begin(key Key, p Fingerprint) (*Record, BeginResult) {
 	s := k.shard(key)
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -120,7 +120,7 @@
 		if r.fingerprint != p {
 			return nil, Mismatch
 		}
-		return r, Repeated
+		return r, Duplicate
 	}
 	if s.bytes+recordOverhead > k.limit()/shardCount {
 		return nil, Full
@@ -148,14 +148,14 @@
 		if response != nil && s.bytes+int64(len(response.Body)) <= k.limit()/shardCount {
 			r.response = response
 		}
-		r.expires = k.Clock.Now() + k.Kept()
+		r.expires = k.Clock.Now() + k.RetentionPeriod()
 		s.bytes += r.size(key)
 	}
 	close(r.done)
 }
 
-// Look returns the state of a key, and its outcome once it has ended.
-func (k *Keeper) Look(key Key) (State, exchanger.Result) {
+// Lookup returns the state of a key, and its outcome once it has ended.
+func (k *Keeper) Lookup(key Key) (State, exchanger.Result) {
 	s := k.shard(key)
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -211,8 +211,8 @@
 	return &k.shards[xxhash.Sum64String(string(key))%shardCount]
 }
 
-// Kept returns how long keys are remembered after they have ended.
-func (k *Keeper) Kept() timekeeper.Millis {
+// RetentionPeriod returns how long keys are remembered after they have ended.
+func (k *Keeper) RetentionPeriod() timekeeper.Millis {
 	if k.Retention != nil {
 		return k.Retention()
 	}
@@ -235,8 +235,8 @@
 // Attach makes c copy its response into rec.
 func (rec *Recorder) Attach(c *exchanger.Call) {
 	start, write := c.Start, c.Write
-	c.Start = func(a exchanger.Answer) error {
-		rec.response.Answer = a
+	c.Start = func(a exchanger.Response) error {
+		rec.response.Response = a
 		rec.response.Header = a.Header.Clone()
 		return start(a)
 	}
@@ -252,8 +252,8 @@
 	}
 }
 
-// Answer returns the copy of a complete response, or nil if there is none to keep.
-func (rec *Recorder) Answer(r exchanger.Result) *Response {
+// Response returns the copy of a complete response, or nil if there is none to keep.
+func (rec *Recorder) Response(r exchanger.Result) *Response {
 	if r.Outcome != exchanger.Answered || !r.Whole || rec.tooLong {
 		return nil
 	}
--- a/internal/request/keykeeper/keeper_test.go
+++ b/internal/request/keykeeper/keeper_test.go
@@ -54,11 +54,11 @@
 	now.Store(1)
 	k := newKeeper(&now)
 	r, _ := k.Begin("unknown", 1)
-	state, _ := k.Look("unknown")
+	state, _ := k.Lookup("unknown")
 	is.Equal(state, keykeeper.Running)
 	k.End("unknown", r, exchanger.Lost(exchanger.ReasonLinkLost, ""), nil)
 	_, v := k.Begin("unknown", 1)
-	is.Equal(v, keykeeper.Repeated) // an unknown outcome is never run again
+	is.Equal(v, keykeeper.Duplicate) // an unknown outcome is never run again
 	_, v = k.Begin("unknown", 2)
 	is.Equal(v, keykeeper.Mismatch)
 
@@ -70,7 +70,7 @@
 	now.Add(int64(keykeeper.DefaultRetention))
 	_, v = k.Begin("unknown", 2)
 	is.Equal(v, keykeeper.Begun)
-	state, _ = k.Look("refused")
+	state, _ = k.Lookup("refused")
 	is.Equal(state, keykeeper.Running) // a key that runs is never forgotten
 }
 
@@ -90,11 +90,11 @@
 			full++
 			continue
 		}
-		k.End(key, r, answered, &keykeeper.Response{Answer: exchanger.Answer{Header: http.Header{}}, Body: make([]byte, 1000)})
+		k.End(key, r, answered, &keykeeper.Response{Response: exchanger.Response{Header: http.Header{}}, Body: make([]byte, 1000)})
 	}
 	is.True(full > 2000 && full < 4900)
 	_, v := k.Begin("key0", 1)
-	is.Equal(v, keykeeper.Repeated)
+	is.Equal(v, keykeeper.Duplicate)
 	now.Add(int64(keykeeper.DefaultRetention))
 	_, v = k.Begin("key4999", 1)
 	is.Equal(v, keykeeper.Begun)
--- a/internal/request/limiter/allocator.go
+++ b/internal/request/limiter/allocator.go
@@ -88,7 +88,7 @@
 	if a == nil {
 		initialTokens := c.view.regionShare() * c.Tolerance.initialTokens(o.Limit)
 		a = &account{bucket: bucket{updatedAt: c.allocatorSince, level: initialTokens}}
-		if c.view.Sole {
+		if c.view.SingleDaemon {
 			a.bucket.level = c.Tolerance.capacity(o.Limit)
 		}
 		c.accounts[o.Hash()] = a
@@ -132,7 +132,7 @@
 	t := c.bucketParams(o, c.view.regionShare())
 	for _, d := range a.pending {
 		n := a.bucket.issue(now, d.wanted, d.needed, t)
-		c.respond(o, d, n, a.retryTimes(now, d.needed-n, t, c.view.Near))
+		c.respond(o, d, n, a.retryTimes(now, d.needed-n, t, c.view.Reachable))
 	}
 	a.pending = nil
 }
@@ -166,7 +166,7 @@
 func (c *Core) decideLocal(o *authenticator.Organisation, t *Ticket, n int, after timekeeper.Millis) {
 	switch {
 	case n == 0:
-		t.decide(Verdict{Outcome: Over, After: after})
+		t.decide(Verdict{Outcome: OverLimit, After: after})
 	case t.Verdict.Outcome == Waiting:
 		t.decide(Verdict{Outcome: Admitted})
 	default:
--- a/internal/request/limiter/cache.go
+++ b/internal/request/limiter/cache.go
@@ -160,7 +160,7 @@
 // deny refuses a request, with a retry time after those of the requests refused before.
 func (s *tokenCache) deny(now timekeeper.Millis) Verdict {
 	s.lastRetryAt = min(max(s.lastRetryAt, now)+s.gap, now+maxRetryAfter)
-	return Verdict{Outcome: Over, After: max(s.lastRetryAt-now, minRetryAfter)}
+	return Verdict{Outcome: OverLimit, After: max(s.lastRetryAt-now, minRetryAfter)}
 }
 
 // takeOwnShare decides a request by this daemon's own share of the limit.
--- a/internal/request/limiter/core.go
+++ b/internal/request/limiter/core.go
@@ -27,7 +27,7 @@
 	// force, or nil.
 	Organisation func(hasher.Hash) *authenticator.Organisation
 
-	view           Census
+	view           FleetView
 	allocatorSince timekeeper.Millis
 	// allocators are the addresses that tokens are acquired from: the region's allocator, then
 	// the others. current selects the one to ask, unanswered counts consecutive requests
@@ -48,15 +48,15 @@
 }
 
 // Observe updates the view of the fleet.
-func (c *Core) Observe(now timekeeper.Millis, v Census) {
+func (c *Core) Observe(now timekeeper.Millis, v FleetView) {
 	wasAllocator := c.isAllocator()
-	if v.Counter != c.view.Counter {
+	if v.Allocator != c.view.Allocator {
 		c.current, c.unanswered = 0, 0
 	}
 	c.view = v
 	c.allocators = c.allocators[:0]
-	if v.Counter != "" {
-		c.allocators = append(append(c.allocators, v.Counter), v.Others...)
+	if v.Allocator != "" {
+		c.allocators = append(append(c.allocators, v.Allocator), v.Others...)
 	}
 	if c.isAllocator() == wasAllocator {
 		return
@@ -74,7 +74,7 @@
 		t.Verdict = Verdict{Outcome: Admitted}
 	case c.isAllocator():
 		c.handleAcquire(now, o, acquisition{ticket: t, wanted: 1, needed: 1})
-	case c.view.Alone || len(c.allocators) == 0:
+	case c.view.Isolated || len(c.allocators) == 0:
 		t.Verdict = c.takeOwnShare(now, o, c.tokenCache(o, now))
 	case c.unanswered >= len(c.allocators):
 		s := c.tokenCache(o, now)
@@ -113,7 +113,7 @@
 	}
 	s := c.tokenCache(o, now)
 	c.nextAllocator(now, s)
-	if !c.isAllocator() && !c.view.Alone && c.unanswered < len(c.allocators) && t.timeouts < len(c.allocators) {
+	if !c.isAllocator() && !c.view.Isolated && c.unanswered < len(c.allocators) && t.timeouts < len(c.allocators) {
 		t.timeouts++
 		if !slices.Contains(s.waiting, t) {
 			s.waiting = append(s.waiting, t)
@@ -196,7 +196,7 @@
 
 // isAllocator reports whether this daemon is the limit allocator of its region.
 func (c *Core) isAllocator() bool {
-	return c.view.Counts && !c.view.Alone
+	return c.view.IsAllocator && !c.view.Isolated
 }
 
 // limitedOrganisation returns the organisation with a hash, nil if it is unknown or unlimited.
--- a/internal/request/limiter/fleet_test.go
+++ b/internal/request/limiter/fleet_test.go
@@ -234,22 +234,22 @@
 }
 
 // viewOf returns a daemon's view of the fleet.
-func (f *fleet) viewOf(d int) limiter.Census {
+func (f *fleet) viewOf(d int) limiter.FleetView {
 	f.refreshView()
-	c := limiter.Census{Known: len(f.daemons), Near: max(f.view.near[f.region(d)], 1)}
+	c := limiter.FleetView{Known: len(f.daemons), Reachable: max(f.view.near[f.region(d)], 1)}
 	leader := f.view.leaders[f.region(d)]
-	c.Alone = f.view.heard <= 1 && len(f.daemons) > 1
+	c.Isolated = f.view.heard <= 1 && len(f.daemons) > 1
 	if f.daemons[d].isolated {
 		isolatedFor := f.now - f.daemons[d].since
-		c.Alone = isolatedFor >= livenessTimeout
+		c.Isolated = isolatedFor >= livenessTimeout
 		if isolatedFor >= leaderTimeout {
 			leader = d
 		}
 	}
 	if leader != d && leader >= 0 {
-		c.Counter = strconv.Itoa(leader)
+		c.Allocator = strconv.Itoa(leader)
 	}
-	c.Counts = c.Counter == ""
+	c.IsAllocator = c.Allocator == ""
 	for r, l := range f.view.leaders {
 		if r != f.region(d) && l >= 0 {
 			c.Others = append(c.Others, strconv.Itoa(l))
--- a/internal/request/limiter/limiter.go
+++ b/internal/request/limiter/limiter.go
@@ -28,8 +28,8 @@
 // Options are the dependencies of a Limiter. All but Clock must be set.
 type Options struct {
 	Tolerance func() Tolerance
-	// Census returns the current view of the fleet.
-	Census func() Census
+	// FleetView returns the current view of the fleet.
+	FleetView func() FleetView
 	// Organisation returns the organisation whose name has a hash, or nil.
 	Organisation func(hasher.Hash) *authenticator.Organisation
 	Send         func(Envelope)
@@ -67,7 +67,7 @@
 
 // Observe updates the view of the fleet once.
 func (l *Limiter) Observe() {
-	view, tolerance := l.options.Census(), l.options.Tolerance()
+	view, tolerance := l.options.FleetView(), l.options.Tolerance()
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.core.Tolerance = tolerance
--- a/internal/request/limiter/limits_test.go
+++ b/internal/request/limiter/limits_test.go
@@ -193,7 +193,7 @@
 	is := is.New(t)
 	all := normalized(&authenticator.Organisation{Name: "o", Limit: authenticator.Limit{PerSecond: 20, Burst: 2}})
 	core := limiter.Core{Tolerance: limiter.Tolerance{Window: 5 * second}}
-	core.Observe(0, limiter.Census{Known: 1, Near: 1, Counts: true})
+	core.Observe(0, limiter.FleetView{Known: 1, Reachable: 1, IsAllocator: true})
 	seen := map[timekeeper.Millis]bool{}
 	admitted := 0
 	for range 20 {
@@ -203,7 +203,7 @@
 			admitted++
 			continue
 		}
-		is.Equal(ticket.Verdict.Outcome, limiter.Over)
+		is.Equal(ticket.Verdict.Outcome, limiter.OverLimit)
 		is.True(!seen[ticket.Verdict.After])
 		seen[ticket.Verdict.After] = true
 	}
--- a/internal/request/limiter/model_test.go
+++ b/internal/request/limiter/model_test.go
@@ -123,7 +123,7 @@
 	}
 	list = normalized(list...)
 	core := &limiter.Core{Tolerance: tolerance}
-	core.Observe(0, limiter.Census{Known: 1, Near: 1, Counts: true})
+	core.Observe(0, limiter.FleetView{Known: 1, Reachable: 1, IsAllocator: true})
 	now := 10 * second
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/request/limiter/verdict.go
+++ b/internal/request/limiter/verdict.go
@@ -10,8 +10,8 @@
 	Waiting Outcome = iota
 	// Admitted means that the request may be sent.
 	Admitted
-	// Over means that the request exceeds the limit of its organisation.
-	Over
+	// OverLimit means that the request exceeds the limit of its organisation.
+	OverLimit
 	// Unknown means that no allocator is heard and this daemon's own share is used up.
 	Unknown
 )
@@ -37,27 +37,27 @@
 		timeouts int
 	}
 
-	// Census is a daemon's view of the fleet members that share the limits.
-	Census struct {
+	// FleetView is a daemon's view of the fleet members that share the limits.
+	FleetView struct {
 		// Known is the number of fleet members that may send requests, including this one, and
 		// Near the number of those of its region that it hears.
-		Known int
-		Near  int
-		// Counts reports that this member is the limit allocator of its region; Counter is the
+		Known     int
+		Reachable int
+		// IsAllocator reports that this member is the limit allocator of its region; Counter is the
 		// address of that allocator otherwise, "" for none.
-		Counts  bool
-		Counter string
+		IsAllocator bool
+		Allocator   string
 		// Others are the addresses of the allocators of the other regions. An allocator
 		// borrows from them, and a daemon acquires from them when its region's allocator is
 		// silent.
 		Others []string
-		// Alone reports that the member knows others but hears none.
-		Alone bool
+		// Isolated reports that the member knows others but hears none.
+		Isolated bool
 		// Starting reports that the member is alone because it has just started, and may still
 		// hear others.
 		Starting bool
-		// Sole reports that there are no other daemons by design: buckets begin full.
-		Sole bool
+		// SingleDaemon reports that there are no other daemons by design: buckets begin full.
+		SingleDaemon bool
 	}
 )
 
@@ -72,11 +72,11 @@
 }
 
 // regionShare returns the region's share of a limit.
-func (c Census) regionShare() float64 {
-	return float64(c.Near) / float64(max(c.Known, c.Near, 1))
+func (c FleetView) regionShare() float64 {
+	return float64(c.Reachable) / float64(max(c.Known, c.Reachable, 1))
 }
 
 // ownShare returns the share of a daemon that hears no allocator.
-func (c Census) ownShare() float64 {
+func (c FleetView) ownShare() float64 {
 	return 1 / float64(max(c.Known, 1))
 }
--- a/internal/request/looker/looker.go
+++ b/internal/request/looker/looker.go
@@ -15,8 +15,8 @@
 const Path = "/Lookup"
 
 type (
-	// Looker serves lookups. Set the exported fields before use.
-	Looker struct {
+	// Handler serves lookups. Set the exported fields before use.
+	Handler struct {
 		Snapshot func() *steerer.Snapshot
 		Meter    *measurer.Meter
 	}
@@ -30,7 +30,7 @@
 )
 
 // ServeHTTP serves GET /Lookup?Service=…&Block=….
-func (l *Looker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s := l.Snapshot()
 	if s == nil {
 		l.writeError(w, http.StatusServiceUnavailable, ErrorBody{Text: "starting: no settings yet"})
@@ -78,7 +78,7 @@
 	return a, nil
 }
 
-func (l *Looker) writeError(w http.ResponseWriter, status int, p ErrorBody) {
+func (l *Handler) writeError(w http.ResponseWriter, status int, p ErrorBody) {
 	l.Meter.Count("lookups", measurer.Labels{Kind: http.StatusText(status)})
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/request/placer/place.go
+++ b/internal/request/placer/place.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// ListLength is the maximum number of candidate upstreams of a key. Without a bound, an
+	// MaxCandidates is the maximum number of candidate upstreams of a key. Without a bound, an
 	// overload spreads keys to upstreams that do not know them, whose work grows, and the
 	// service does not recover.
-	ListLength = 3
+	MaxCandidates = 3
 
 	// urgentQueueFactor is the number of running and waiting requests, as a multiple of its
 	// slots, that an upstream may report before the next candidate is considered. Waiting that
@@ -39,7 +39,7 @@
 
 // The reasons for passing over an upstream.
 const (
-	Fit       Verdict = ""
+	Accepts   Verdict = ""
 	Gone      Verdict = "gone"
 	Down      Verdict = "down"
 	Failing   Verdict = "failing"
@@ -55,7 +55,7 @@
 		Without switcher.Set
 	}
 
-	// Verdict is the reason an upstream does not take a request, or Fit if it does.
+	// Verdict is the reason an upstream does not take a request, or Accepts if it does.
 	Verdict string
 
 	// State is what one daemon knows about an upstream when it selects one.
@@ -75,16 +75,16 @@
 		Failing bool
 		// FailShare is the moving average of the share of requests that it failed or refused.
 		FailShare float64
-		// BreakShare is the moving average of the share of requests that it failed, without
+		// ErrorShare is the moving average of the share of requests that it failed, without
 		// refusals.
-		BreakShare float64
-		// Knows reports that the upstream recently ran the request's key, and so runs it
+		ErrorShare float64
+		// KnowsKey reports that the upstream recently ran the request's key, and so runs it
 		// faster.
-		Knows bool
+		KnowsKey bool
 		// Cold reports that the upstream is warming up and its request rate is used up.
 		Cold bool
-		// Tried reports that this request already had an attempt at the upstream.
-		Tried bool
+		// Attempted reports that this request already had an attempt at the upstream.
+		Attempted bool
 	}
 )
 
@@ -96,15 +96,15 @@
 // Reachable reports whether the upstream can take an attempt: it is neither gone nor down and
 // had none for this request.
 func (s State) Reachable() bool {
-	return !s.Gone && !s.Down && !s.Tried
+	return !s.Gone && !s.Down && !s.Attempted
 }
 
 // excluded reports whether the upstream fails or refuses so many requests that other upstreams
 // should get them. A refusal costs little, so an upstream that knows the key and mostly
 // refuses stays preferable to one where the request would be late.
 func (s State) excluded() bool {
-	refuses := s.BreakShare < s.FailShare*failShareRatio
-	return s.Failing && !(s.Knows && refuses && s.FailShare < maxKnownFailShare)
+	refuses := s.ErrorShare < s.FailShare*failShareRatio
+	return s.Failing && !(s.KnowsKey && refuses && s.FailShare < maxKnownFailShare)
 }
 
 // idle reports whether the upstream has room for a key that it does not know, whose first
@@ -117,12 +117,12 @@
 // order of the upstreams in the regions for which allowed returns true. Adding or removing an
 // upstream moves only its own keys.
 func Candidates(l []*cataloger.Upstream, key hasher.Hash, all []*cataloger.Upstream, allowed func(region string) bool) []*cataloger.Upstream {
-	return ListOf(l, key, all, func(u *cataloger.Upstream) bool { return allowed(u.Site.Region()) })
+	return CandidatesWhere(l, key, all, func(u *cataloger.Upstream) bool { return allowed(u.Site.Region()) })
 }
 
-// ListOf is like Candidates, with a filter on upstreams instead of regions.
-func ListOf(l []*cataloger.Upstream, key hasher.Hash, all []*cataloger.Upstream, match func(*cataloger.Upstream) bool) []*cataloger.Upstream {
-	var scores [ListLength]hasher.Hash
+// CandidatesWhere is like Candidates, with a filter on upstreams instead of regions.
+func CandidatesWhere(l []*cataloger.Upstream, key hasher.Hash, all []*cataloger.Upstream, match func(*cataloger.Upstream) bool) []*cataloger.Upstream {
+	var scores [MaxCandidates]hasher.Hash
 	for _, u := range all {
 		if !match(u) {
 			continue
@@ -132,17 +132,17 @@
 	return l
 }
 
-// insert adds u to l, which is sorted by descending score and has at most ListLength elements.
-func insert(l []*cataloger.Upstream, scores *[ListLength]hasher.Hash, u *cataloger.Upstream, h hasher.Hash) []*cataloger.Upstream {
+// insert adds u to l, which is sorted by descending score and has at most MaxCandidates elements.
+func insert(l []*cataloger.Upstream, scores *[MaxCandidates]hasher.Hash, u *cataloger.Upstream, h hasher.Hash) []*cataloger.Upstream {
 	n := len(l)
 	at := n
 	for at > 0 && h > scores[at-1] {
 		at--
 	}
-	if at >= ListLength {
+	if at >= MaxCandidates {
 		return l
 	}
-	if n < ListLength {
+	if n < MaxCandidates {
 		l = append(l, nil)
 		n++
 	}
@@ -152,16 +152,16 @@
 	return l
 }
 
-// Judge returns Fit if the upstream takes a request now, and otherwise the reason it does not.
+// Check returns Accepts if the upstream takes a request now, and otherwise the reason it does not.
 // urgent marks a request of the most urgent rank of its service.
-func (p Placer) Judge(s State, urgent bool) Verdict {
+func (p Placer) Check(s State, urgent bool) Verdict {
 	queueFactor := normalQueueFactor
 	if urgent || p.Without.Has(switcher.Rank) {
 		queueFactor = urgentQueueFactor
 	}
 	slots := float64(max(s.Slots, 1))
 	switch {
-	case s.Tried:
+	case s.Attempted:
 		return Attempted
 	case s.Gone:
 		return Gone
@@ -174,16 +174,16 @@
 	case s.Cold:
 		return Cold
 	}
-	return Fit
+	return Accepts
 }
 
-// ChooseHomed is like Choose for a key whose home is the first state. While the home's queue
+// ChooseWithHome is like Choose for a key whose home is the first state. While the home's queue
 // is full, the key either moves (move is true) to an idle upstream, or waits: the index is -1
 // and the request is refused. A key that runs at another upstream without moving there evicts
 // keys from that upstream's cache; after the loss of some upstreams, this keeps all others at
 // the cost of unknown keys long after the loss. Running it at upstreams that ran the key
 // before does not pay off either.
-func (p Placer) ChooseHomed(states []State, urgent bool) (i int, first Verdict, move bool) {
+func (p Placer) ChooseWithHome(states []State, urgent bool) (i int, first Verdict, move bool) {
 	i, first = p.Choose(states, urgent)
 	if i <= 0 || !first.overloaded() {
 		return i, first, false
@@ -203,15 +203,15 @@
 func (p Placer) Choose(states []State, urgent bool) (int, Verdict) {
 	first, failing := Gone, -1
 	for i, s := range states {
-		v := p.Judge(s, urgent)
+		v := p.Check(s, urgent)
 		if i == 0 {
 			first = v
 		}
-		if v == Fit && (first != Failing || s.FailShare < failShareRatio*states[0].FailShare) {
+		if v == Accepts && (first != Failing || s.FailShare < failShareRatio*states[0].FailShare) {
 			return i, first
 		}
 		s.Failing = false
-		if v == Failing && failing < 0 && p.Judge(s, urgent) == Fit {
+		if v == Failing && failing < 0 && p.Check(s, urgent) == Accepts {
 			failing = i
 		}
 	}
--- a/internal/request/placer/place_test.go
+++ b/internal/request/placer/place_test.go
@@ -38,7 +38,7 @@
 		key := hasher.OfString(fmt.Sprint("key", k))
 		before := placer.Candidates(nil, key, all, anyRegion)
 		after := placer.Candidates(nil, key, rest, anyRegion)
-		is.Equal(len(before), placer.ListLength)
+		is.Equal(len(before), placer.MaxCandidates)
 		if before[0] == gone {
 			is.Equal(after[0], before[1]) // the next in the order takes over
 			continue
@@ -51,7 +51,7 @@
 	is := is.New(t)
 	for k := range 100 {
 		list := placer.Candidates(nil, hasher.OfString(fmt.Sprint(k)), catalog(24), func(r string) bool { return r == "region1" })
-		is.Equal(len(list), placer.ListLength)
+		is.Equal(len(list), placer.MaxCandidates)
 		for _, u := range list {
 			is.Equal(u.Site.Region(), "region1")
 		}
@@ -67,11 +67,11 @@
 		want    int
 		verdict placer.Verdict
 	}{
-		{"first", []placer.State{free, free}, false, 0, placer.Fit},
-		{"waits in line at the first", []placer.State{{Slots: 6, Reported: 11}, free}, false, 0, placer.Fit},
+		{"first", []placer.State{free, free}, false, 0, placer.Accepts},
+		{"waits in line at the first", []placer.State{{Slots: 6, Reported: 11}, free}, false, 0, placer.Accepts},
 		{"line too long", []placer.State{{Slots: 6, Reported: 13}, free}, false, 1, placer.QueueFull},
-		{"line for the urgent", []placer.State{{Slots: 6, Reported: 13}, free}, true, 0, placer.Fit},
-		{"own requests only", []placer.State{{Slots: 6, Own: 6, Reported: 6}, free}, false, 0, placer.Fit},
+		{"line for the urgent", []placer.State{{Slots: 6, Reported: 13}, free}, true, 0, placer.Accepts},
+		{"own requests only", []placer.State{{Slots: 6, Own: 6, Reported: 6}, free}, false, 0, placer.Accepts},
 		{"own requests fill the line", []placer.State{{Slots: 6, Own: 13, Reported: 13}, free}, false, 1, placer.QueueFull},
 		{"down", []placer.State{{Slots: 6, Down: true}, free}, false, 1, placer.Down},
 		{"failing", []placer.State{{Slots: 6, Failing: true, FailShare: 0.5}, free}, false, 1, placer.Failing},
@@ -79,7 +79,7 @@
 		{"failing, and the third much less", []placer.State{{Slots: 6, Failing: true, FailShare: 0.5}, {Slots: 6, FailShare: 0.3}, free}, false, 2, placer.Failing},
 		{"all failing", []placer.State{{Slots: 6, Failing: true}, {Slots: 6, Failing: true}}, false, 0, placer.Failing},
 		{"failing and the other full", []placer.State{{Slots: 6, Failing: true}, {Slots: 6, Reported: 16}}, false, 0, placer.Failing},
-		{"failing and tried", []placer.State{{Slots: 6, Failing: true, Tried: true}, {Slots: 6, Down: true}}, false, -1, placer.Attempted},
+		{"failing and tried", []placer.State{{Slots: 6, Failing: true, Attempted: true}, {Slots: 6, Down: true}}, false, -1, placer.Attempted},
 		{"all full", []placer.State{{Slots: 6, Reported: 16}, {Slots: 6, Own: 16, Reported: 16}}, true, -1, placer.QueueFull},
 		{"none", nil, true, -1, placer.Gone},
 	}
@@ -111,7 +111,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			i, _, move := placer.Placer{}.ChooseHomed(tt.states, true)
+			i, _, move := placer.Placer{}.ChooseWithHome(tt.states, true)
 			is.Equal(i, tt.want)
 			is.Equal(move, tt.move)
 		})
@@ -127,14 +127,14 @@
 		want              placer.Verdict
 	}{
 		{false, 0.45, 0, placer.Failing},
-		{true, 0.45, 0, placer.Fit},
-		{true, 0.45, 0.1, placer.Fit},
+		{true, 0.45, 0, placer.Accepts},
+		{true, 0.45, 0.1, placer.Accepts},
 		{true, 0.45, 0.4, placer.Failing},
 		{true, 0.75, 0, placer.Failing},
 	}
 	for _, tt := range tests {
-		s := placer.State{Slots: 4, Failing: true, FailShare: tt.share, BreakShare: tt.errorShare, Knows: tt.knows}
-		is.New(t).Equal(placer.Placer{}.Judge(s, true), tt.want)
+		s := placer.State{Slots: 4, Failing: true, FailShare: tt.share, ErrorShare: tt.errorShare, KnowsKey: tt.knows}
+		is.New(t).Equal(placer.Placer{}.Check(s, true), tt.want)
 	}
 }
 
@@ -158,9 +158,9 @@
 		for range 2 {
 			var states []placer.State
 			for i, u := range at {
-				states = append(states, placer.State{Slots: 9, Failing: shares[u] > limit, FailShare: shares[u], Knows: knows && i == 0})
+				states = append(states, placer.State{Slots: 9, Failing: shares[u] > limit, FailShare: shares[u], KnowsKey: knows && i == 0})
 			}
-			i, _, _ := placer.Placer{}.ChooseHomed(states, true)
+			i, _, _ := placer.Placer{}.ChooseWithHome(states, true)
 			refused := 0.0
 			if random.Float64() < refusing {
 				refused = 1
--- a/internal/request/placer/without_test.go
+++ b/internal/request/placer/without_test.go
@@ -30,9 +30,9 @@
 	for _, tt := range tests {
 		t.Run(tt.mechanism.String(), func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(placer.Placer{}.Judge(tt.state, tt.urgent), tt.want)
-			is.Equal(placer.Placer{Without: allExcept(tt.mechanism)}.Judge(tt.state, tt.urgent), tt.want)
-			is.Equal(placer.Placer{Without: switcher.Of(tt.mechanism)}.Judge(tt.state, tt.urgent), placer.Fit)
+			is.Equal(placer.Placer{}.Check(tt.state, tt.urgent), tt.want)
+			is.Equal(placer.Placer{Without: allExcept(tt.mechanism)}.Check(tt.state, tt.urgent), tt.want)
+			is.Equal(placer.Placer{Without: switcher.Of(tt.mechanism)}.Check(tt.state, tt.urgent), placer.Accepts)
 		})
 	}
 }
@@ -41,11 +41,11 @@
 func TestRankSwitchedOff(t *testing.T) {
 	is := is.New(t)
 	state := placer.State{Slots: 6, Reported: 13}
-	is.Equal(placer.Placer{}.Judge(state, false), placer.QueueFull)
-	is.Equal(placer.Placer{}.Judge(state, true), placer.Fit)
+	is.Equal(placer.Placer{}.Check(state, false), placer.QueueFull)
+	is.Equal(placer.Placer{}.Check(state, true), placer.Accepts)
 	without := placer.Placer{Without: switcher.Of(switcher.Rank)}
-	is.Equal(without.Judge(state, false), placer.Fit)
-	is.Equal(without.Judge(placer.State{Slots: 6, Reported: 16}, false), placer.QueueFull)
+	is.Equal(without.Check(state, false), placer.Accepts)
+	is.Equal(without.Check(placer.State{Slots: 6, Reported: 16}, false), placer.QueueFull)
 }
 
 // TestWaitingSwitchedOff chooses for a key whose home is full, next to an upstream that is not
@@ -54,11 +54,11 @@
 func TestWaitingSwitchedOff(t *testing.T) {
 	is := is.New(t)
 	states := []placer.State{{Slots: 6, Reported: 16}, {Slots: 6, Reported: 4}}
-	i, verdict, move := placer.Placer{}.ChooseHomed(states, true)
+	i, verdict, move := placer.Placer{}.ChooseWithHome(states, true)
 	is.Equal(i, -1)
 	is.Equal(verdict, placer.QueueFull)
 	is.True(!move)
-	i, verdict, move = placer.Placer{Without: switcher.Of(switcher.Waiting)}.ChooseHomed(states, true)
+	i, verdict, move = placer.Placer{Without: switcher.Of(switcher.Waiting)}.ChooseWithHome(states, true)
 	is.Equal(i, 1)
 	is.Equal(verdict, placer.QueueFull)
 	is.True(!move)
