--- a/internal/process/fronter/fronter.go
+++ b/internal/process/fronter/fronter.go
@@ -151,29 +151,29 @@
 	f.startup.startedAt, f.startup.done = f.clock.Now(), make(chan struct{})
 	f.upstreams = &tracker.Set{Dial: dial, Counter: f.byteCounter}
 	f.dispatcher = &dispatcher.Dispatcher{
-		Config:     f.Config,
-		Behind:     o.Behind,
-		Uncertain:  o.Uncertain,
-		Catalog:    f.Catalog.Current,
-		Upstreams:  f.upstreams,
-		Fields:     o.Fields,
-		ParseLoad:  o.ParseLoad,
-		MayWarm:    f.hasWarmupRoom,
-		Warm:       f.acquireWarmupRoom,
-		Homes:      o.Homes,
-		Ended:      o.Ended,
-		Quarantine: o.Quarantine,
-		Limits:     o.Limits,
+		Config:            f.Config,
+		ConfigLag:         o.Behind,
+		KeysUnconfirmed:   o.Uncertain,
+		Catalog:           f.Catalog.Current,
+		Upstreams:         f.upstreams,
+		Fields:            o.Fields,
+		ParseLoad:         o.ParseLoad,
+		HasWarmupRoom:     f.hasWarmupRoom,
+		AcquireWarmupRoom: f.acquireWarmupRoom,
+		Homes:             o.Homes,
+		Ended:             o.Ended,
+		Quarantine:        o.Quarantine,
+		Limits:            o.Limits,
 		Retries: &dispatcher.Retries{
 			Limits: f.retryLimits,
 		},
-		LeavingAt: f.LeavingAt,
-		Start:     f.awaitStartup,
-		Waited:    pipeliner.Waited,
-		Decided:   f.logDecision,
-		Lost:      f.logLoss,
-		Meter:     f.Meter,
-		Without:   o.Without,
+		StopsAt:      f.LeavingAt,
+		AwaitReady:   f.awaitStartup,
+		PipelineWait: pipeliner.Waited,
+		OnDecision:   f.logDecision,
+		Lost:         f.logLoss,
+		Meter:        f.Meter,
+		Without:      o.Without,
 	}
 	return f
 }
@@ -436,7 +436,7 @@
 	}
 	f.options.Log.WithFields(logrus.Fields{
 		"id": l.ID, "fingerprint": l.Suspect.Fingerprint.String(), "crashes": l.Suspect.Crashes,
-		"service": l.Service, "upstream": l.Upstream.ID, "site": l.Upstream.Site, "ending": l.Ending,
+		"service": l.Service, "upstream": l.Upstream.ID, "site": l.Upstream.Site, "ending": l.UpstreamState,
 	}).Info("connection lost")
 }
 
@@ -447,9 +447,9 @@
 	}
 	fields := logrus.Fields{
 		"id": e.ID, "route": e.Route, "service": e.Service, "class": e.Class,
-		"config": e.Config, "behind": int64(e.Behind), "catalog": e.Catalog, "upstream": e.Upstream, "site": e.Site, "key": e.Key,
-		"tries": e.Tries, "outcome": e.Outcome, "reason": e.Reason, "status": e.Status,
-		"ms": int64(e.Took), "objective": int64(e.Objective), "waited": int64(e.Waited), "sentAfter": int64(e.SentAfter), "load": e.Load, "own": e.Own,
+		"config": e.Config, "behind": int64(e.ConfigLag), "catalog": e.Catalog, "upstream": e.Upstream, "site": e.Site, "key": e.Key,
+		"tries": e.Attempts, "outcome": e.Outcome, "reason": e.Reason, "status": e.Status,
+		"ms": int64(e.Elapsed), "objective": int64(e.Objective), "waited": int64(e.PipelineWait), "sentAfter": int64(e.SentAfter), "load": e.Load, "own": e.Own,
 		"placed": e.Placement.Kind(), "bytes": e.Bytes,
 	}
 	if e.Organisation != "" {
--- a/internal/process/heartbeater/suspects.go
+++ b/internal/process/heartbeater/suspects.go
@@ -20,7 +20,7 @@
 	if err != nil || b.Quarantine == nil {
 		return // the datagram may come from another version
 	}
-	adopted, newer := b.Quarantine.Learn(list)
+	adopted, newer := b.Quarantine.Merge(list)
 	if len(adopted) > 0 && b.Suspected != nil {
 		b.Suspected(adopted)
 	}
@@ -39,7 +39,7 @@
 	if b.Quarantine == nil || m.Suspects == b.Quarantine.Digest() {
 		return
 	}
-	if all := b.Quarantine.All(); len(all) > 0 {
+	if all := b.Quarantine.Suspects(); len(all) > 0 {
 		b.send([]string{m.From.Beats}, &Datagram{Suspects: &Suspects{Packed: quarantiner.Pack(all), Beats: b.Self().Beats}})
 	}
 }
--- a/internal/process/heartbeater/suspects_test.go
+++ b/internal/process/heartbeater/suspects_test.go
@@ -18,8 +18,8 @@
 // addQuarantine gives a member a quarantine whose changes are collected for announce.
 func (n *network) addQuarantine(m *member) *quarantiner.Quarantiner {
 	m.Quarantine = &quarantiner.Quarantiner{
-		Clock:   timekeeper.Clock{Monotonic: func() timekeeper.Millis { return n.now }},
-		Changed: func(c quarantiner.Change) { m.found = append(m.found, c.Now) },
+		Clock:    timekeeper.Clock{Monotonic: func() timekeeper.Millis { return n.now }},
+		OnChange: func(c quarantiner.Change) { m.found = append(m.found, c.Now) },
 	}
 	return m.Quarantine
 }
@@ -38,13 +38,13 @@
 // reportCrash reports a crash caused by the crashing request at a member, unless the request is
 // barred there.
 func (m *member) reportCrash() {
-	if s := m.Quarantine.Look(crashing, quarantiner.Sighting{}); !s.Barred {
-		m.Quarantine.Crashed(s)
+	if s := m.Quarantine.Check(crashing, quarantiner.Observation{}); !s.Refused {
+		m.Quarantine.RecordCrash(s)
 	}
 }
 
 func (m *member) barsRequest() bool {
-	return m.Quarantine.Look(crashing, quarantiner.Sighting{}).Barred
+	return m.Quarantine.Check(crashing, quarantiner.Observation{}).Refused
 }
 
 // TestSuspectsReachAll has one request crash an upstream at each of three members in different
@@ -109,14 +109,14 @@
 	}
 	n.rounds(10)
 	suspect := n.members["m02"].Quarantine
-	suspect.Crashed(suspect.Look(other, quarantiner.Sighting{}))
+	suspect.RecordCrash(suspect.Check(other, quarantiner.Observation{}))
 	n.announce()
 	n.members["m05"].dead = true
 	for range 3 {
 		n.members["m01"].reportCrash()
 		n.announce()
 	}
-	n.members["m00"].Quarantine.Answered(other)
+	n.members["m00"].Quarantine.RecordAnswer(other)
 	n.announce()
 	n.rounds(4)
 	n.members["m05"].dead = false
@@ -125,6 +125,6 @@
 	is.True(n.barredByAll())
 	for _, name := range n.names() {
 		is.Equal(n.members[name].Quarantine.Digest(), n.members["m00"].Quarantine.Digest())
-		is.True(!slices.ContainsFunc(n.members[name].Quarantine.All(), func(s quarantiner.Suspect) bool { return s.Fingerprint == other }))
+		is.True(!slices.ContainsFunc(n.members[name].Quarantine.Suspects(), func(s quarantiner.Suspect) bool { return s.Fingerprint == other }))
 	}
 }
--- a/internal/process/runner/control.go
+++ b/internal/process/runner/control.go
@@ -169,7 +169,7 @@
 // sendInitialState sends the suspects of the quarantine and the free slots of every
 // pool over a new link.
 func (d *Daemon) sendInitialState(s *linker.Session) {
-	if err := s.Send(framer.KindSuspects, suspectsFrame(d.quarantine.All(), true)); err != nil {
+	if err := s.Send(framer.KindSuspects, suspectsFrame(d.quarantine.Suspects(), true)); err != nil {
 		s.Close()
 		return
 	}
--- a/internal/process/runner/daemon.go
+++ b/internal/process/runner/daemon.go
@@ -292,7 +292,7 @@
 		Quarantine:   d.quarantine,
 		MostInFlight: d.config.MostInFlight,
 	}
-	d.owner.Admit = d.forwarder.Admit
+	d.owner.Admit = d.forwarder.RefuseQuarantined
 	d.links.Serve = d.forwarder.RunLinked
 	d.links.FreeOf = d.owner.Free
 	d.links.Pace = d.paceExport
@@ -415,7 +415,7 @@
 			{Method: http.MethodGet, Path: operator.PathHealth, Handler: d.serveHealth},
 		},
 		Fallback: d.forwarder,
-		Direct:   d.forwarder.Names,
+		Direct:   d.forwarder.NamesService,
 	})
 }
 
--- a/internal/process/runner/quarantine.go
+++ b/internal/process/runner/quarantine.go
@@ -26,7 +26,7 @@
 // newQuarantine returns the quarantine of this daemon and creates its change queue.
 func (d *Daemon) newQuarantine() *quarantiner.Quarantiner {
 	d.suspectChanges = make(chan quarantiner.Change, suspectQueueLength)
-	return &quarantiner.Quarantiner{Clock: d.clock, Changed: d.queueSuspect, MayTry: d.allowTrial}
+	return &quarantiner.Quarantiner{Clock: d.clock, OnChange: d.queueSuspect, AllowTrial: d.allowTrial}
 }
 
 // queueSuspect queues a change found by this daemon for the other daemons. It drops the
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	adopted, newer := d.quarantine.Learn(list)
+	adopted, newer := d.quarantine.Merge(list)
 	var added []quarantiner.Suspect
 	for _, c := range adopted {
 		d.logSuspectChange(c)
@@ -103,7 +103,7 @@
 		d.links.Broadcast(framer.KindSuspects, suspectsFrame(added, false), s)
 	}
 	if m.Full {
-		newer = append(newer, difference(d.quarantine.All(), list)...)
+		newer = append(newer, difference(d.quarantine.Suspects(), list)...)
 	}
 	if len(newer) == 0 {
 		return nil
@@ -148,5 +148,5 @@
 			names = append(names, string(m.Incarnation))
 		}
 	}
-	return quarantiner.Turn(f, over, string(d.self.Incarnation), names)
+	return quarantiner.IsTurn(f, over, string(d.self.Incarnation), names)
 }
--- a/internal/request/dispatcher/behind_test.go
+++ b/internal/request/dispatcher/behind_test.go
@@ -30,7 +30,7 @@
 		behind timekeeper.Millis
 		status int
 	}{{0, http.StatusNotFound}, {0, http.StatusNotFound}, {900, http.StatusServiceUnavailable}} {
-		s.Behind = func() timekeeper.Millis { return x.behind }
+		s.ConfigLag = func() timekeeper.Millis { return x.behind }
 		p, _ := s.do(http.MethodGet, "id", func(r *http.Request) { r.Host = "other.example" })
 		is.Equal(p.StatusCode, x.status)
 	}
--- a/internal/request/dispatcher/choose.go
+++ b/internal/request/dispatcher/choose.go
@@ -101,7 +101,7 @@
 // only for the upstream that the request is sent to: requests that merely consider a cold
 // upstream must not use up its room.
 func (x *exchange) acquireWarmupRoom(u *cataloger.Upstream) bool {
-	return !u.Cold(x.d.Clock.Now()) || x.d.Warm != nil && x.d.Warm(u, x.d.Upstreams.Of(u))
+	return !u.Cold(x.d.Clock.Now()) || x.d.AcquireWarmupRoom != nil && x.d.AcquireWarmupRoom(u, x.d.Upstreams.Of(u))
 }
 
 // pickCandidate chooses among the candidates and moves the key if that is the choice. The rate
@@ -173,7 +173,7 @@
 	s := t.State(u)
 	s.Attempted = slices.Contains(x.attempted, u.Incarnation()) && !x.refusedWithCapacity(u, s) || x.failedToDial(u)
 	if !s.Attempted && u.Cold(x.d.Clock.Now()) {
-		s.Cold = x.d.MayWarm == nil || !x.d.MayWarm(u, t)
+		s.Cold = x.d.HasWarmupRoom == nil || !x.d.HasWarmupRoom(u, t)
 	}
 	return s
 }
--- a/internal/request/dispatcher/dispatcher.go
+++ b/internal/request/dispatcher/dispatcher.go
@@ -51,21 +51,21 @@
 	Dispatcher struct {
 		// Config returns the configuration in force, or nil if none is known.
 		Config func() *matcher.Config
-		// Behind returns for how long a change, possibly of the configuration, has been known
+		// ConfigLag returns for how long a change, possibly of the configuration, has been known
 		// but not read. Nil means that there is never one.
-		Behind func() timekeeper.Millis
-		// Uncertain reports whether API keys may have been revoked without this daemon's
+		ConfigLag func() timekeeper.Millis
+		// KeysUnconfirmed reports whether API keys may have been revoked without this daemon's
 		// knowledge for so long that none of them is accepted. Nil means never.
-		Uncertain func() bool
-		Catalog   func() *cataloger.Snapshot
-		Upstreams *tracker.Set
-		Fields    Fields
+		KeysUnconfirmed func() bool
+		Catalog         func() *cataloger.Snapshot
+		Upstreams       *tracker.Set
+		Fields          Fields
 		// ParseLoad reads the value of Fields.Load.
 		ParseLoad func(string) (tracker.Report, bool)
-		// MayWarm reports whether a cold upstream has room for a request. Warm takes that room
+		// HasWarmupRoom reports whether a cold upstream has room for a request. Warm takes that room
 		// for a request that is sent, and reports false if none is left. Nil allows no
 		// requests to cold upstreams.
-		MayWarm, Warm WarmupFunc
+		HasWarmupRoom, AcquireWarmupRoom WarmupFunc
 		// Homes assigns keys to their homes. Nil means that keys are placed by their hash.
 		Homes *assigner.Assigner
 		// Ended is called when another incarnation responds at an upstream's address. It may
@@ -78,16 +78,16 @@
 		Limits *limiter.Limiter
 		// Retries holds the retry budget.
 		Retries *Retries
-		// LeavingAt returns when this process stops, or 0 if it was not asked to stop.
-		LeavingAt func() timekeeper.Millis
-		// Start waits, for a bounded time, until the entry has the state that it needs to
+		// StopsAt returns when this process stops, or 0 if it was not asked to stop.
+		StopsAt func() timekeeper.Millis
+		// AwaitReady waits, for a bounded time, until the entry has the state that it needs to
 		// place requests. Nil means that there is nothing to wait for.
-		Start func(context.Context)
-		// Waited returns how long a pipelined request waited for the requests before it on its
+		AwaitReady func(context.Context)
+		// PipelineWait returns how long a pipelined request waited for the requests before it on its
 		// connection. Nil means that none waits.
-		Waited func(http.ResponseWriter) timekeeper.Millis
-		// Decided is called with the decision on each request. It may be nil.
-		Decided func(*Decision)
+		PipelineWait func(http.ResponseWriter) timekeeper.Millis
+		// OnDecision is called with the decision on each request. It may be nil.
+		OnDecision func(*Decision)
 		// Lost is called for each connection that was lost during a request, with the state of
 		// its upstream. It may be nil.
 		Lost  func(*Loss)
@@ -109,10 +109,10 @@
 		// Organisation is the organisation that sent the request, or "" if there is none.
 		Organisation authenticator.Name
 		Config       matcher.Version
-		// Behind is for how long a change, possibly of the configuration, had been known but
+		// ConfigLag is for how long a change, possibly of the configuration, had been known but
 		// not read.
-		Behind  timekeeper.Millis
-		Catalog uint64
+		ConfigLag timekeeper.Millis
+		Catalog   uint64
 		// Upstream is the last upstream chosen, or the first choice if none took the request.
 		// Site is its site.
 		Upstream cataloger.UpstreamID
@@ -121,18 +121,18 @@
 		// no upstream took the request after that.
 		Placement assigner.Placement
 		Key       string
-		Tries     int
+		Attempts  int
 		Outcome   string
 		Reason    string
 		Status    int
-		Took      timekeeper.Millis
+		Elapsed   timekeeper.Millis
 		// Objective is the time within which a response is worth its full price.
 		Objective timekeeper.Millis
-		// Waited is the part of Took that the request spent waiting for the requests before it
+		// PipelineWait is the part of Took that the request spent waiting for the requests before it
 		// on its connection. SentAfter is the time from its arrival to the first attempt, or
 		// -1 if there was none.
-		Waited    timekeeper.Millis
-		SentAfter timekeeper.Millis
+		PipelineWait timekeeper.Millis
+		SentAfter    timekeeper.Millis
 		// Bytes counts what was sent to and received from upstreams in all attempts that got a
 		// response.
 		Bytes int64
@@ -155,13 +155,13 @@
 	d.active.Add(1)
 	defer d.active.Add(-1)
 	x := &exchange{d: d, w: w, r: r, arrivedAt: d.Clock.Now(), sentAfter: -1}
-	if d.Waited != nil {
-		x.pipelineWait = d.Waited(w)
+	if d.PipelineWait != nil {
+		x.pipelineWait = d.PipelineWait(w)
 		x.arrivedAt -= x.pipelineWait
 	}
 	defer x.reportDecision()
-	if d.Start != nil {
-		d.Start(r.Context())
+	if d.AwaitReady != nil {
+		d.AwaitReady(r.Context())
 	}
 	x.serve()
 }
@@ -184,15 +184,15 @@
 }
 
 func (d *Dispatcher) configLag() timekeeper.Millis {
-	if d.Behind == nil {
+	if d.ConfigLag == nil {
 		return 0
 	}
-	return d.Behind()
+	return d.ConfigLag()
 }
 
 func (d *Dispatcher) stopsAt() timekeeper.Millis {
-	if d.LeavingAt == nil {
+	if d.StopsAt == nil {
 		return 0
 	}
-	return d.LeavingAt()
+	return d.StopsAt()
 }
--- a/internal/request/dispatcher/dispatcher_test.go
+++ b/internal/request/dispatcher/dispatcher_test.go
@@ -230,7 +230,7 @@
 	is := is.New(t)
 	s := newHarness(t, matcher.Once)
 	var decision dispatcher.Decision
-	s.Decided = func(d *dispatcher.Decision) { decision = *d }
+	s.OnDecision = func(d *dispatcher.Decision) { decision = *d }
 	s.catalog.Put(cataloger.Upstream{ID: "cold", Service: "s", Address: "127.0.0.1:1", Site: "east/a", Slots: 4, ColdUntil: s.Clock.Now() + 60_000})
 	p, _ := s.do(http.MethodPost, "id", nil)
 	is.Equal(p.StatusCode, http.StatusServiceUnavailable)
@@ -281,8 +281,8 @@
 	s := newHarness(t, matcher.Once)
 	const room = 5
 	taken := 0
-	s.MayWarm = func(*cataloger.Upstream, *tracker.Upstream) bool { return taken < room }
-	s.Warm = func(*cataloger.Upstream, *tracker.Upstream) bool {
+	s.HasWarmupRoom = func(*cataloger.Upstream, *tracker.Upstream) bool { return taken < room }
+	s.AcquireWarmupRoom = func(*cataloger.Upstream, *tracker.Upstream) bool {
 		taken++
 		return taken <= room
 	}
@@ -394,9 +394,9 @@
 			s := newHarness(t, matcher.Once)
 			s.add(t, "u1", succeeds)
 			behind := timekeeper.Millis(40)
-			s.Behind = func() timekeeper.Millis { return behind }
+			s.ConfigLag = func() timekeeper.Millis { return behind }
 			var reason string
-			s.Decided = func(d *dispatcher.Decision) { reason = d.Reason }
+			s.OnDecision = func(d *dispatcher.Decision) { reason = d.Reason }
 
 			p, _ := s.do(http.MethodPost, "behind", x.change)
 			is.Equal(p.StatusCode, http.StatusServiceUnavailable)
@@ -430,7 +430,7 @@
 	s := newHarness(t, matcher.Once)
 	s.add(t, "u1", succeeds)
 	end := timekeeper.Millis(0)
-	s.LeavingAt = func() timekeeper.Millis { return end }
+	s.StopsAt = func() timekeeper.Millis { return end }
 	end = s.Clock.Now() + 10_000
 	p, _ := s.do(http.MethodPost, "early", nil)
 	is.Equal(p.StatusCode, http.StatusOK)
--- a/internal/request/dispatcher/exchange.go
+++ b/internal/request/dispatcher/exchange.go
@@ -103,7 +103,7 @@
 	// fingerprint is the fingerprint of the request, or nil if it was not computed yet.
 	fingerprint *quarantiner.Fingerprint
 	// observation is what was known of the request as a suspect before its last attempt.
-	observation quarantiner.Sighting
+	observation quarantiner.Observation
 
 	attempted []cataloger.Incarnation
 	// misdirected is how many of them had terminated: another incarnation responded and ran
@@ -126,13 +126,13 @@
 	x.settleToken()
 	e := &x.decision
 	e.ID = x.r.Header.Get(x.d.Fields.RequestID)
-	e.Took = x.d.Clock.Now() - x.arrivedAt
-	e.Waited, e.SentAfter = x.pipelineWait, x.sentAfter
-	e.Behind = x.d.configLag()
-	e.Tries = len(x.attempted)
+	e.Elapsed = x.d.Clock.Now() - x.arrivedAt
+	e.PipelineWait, e.SentAfter = x.pipelineWait, x.sentAfter
+	e.ConfigLag = x.d.configLag()
+	e.Attempts = len(x.attempted)
 	x.d.measure(e)
-	if x.d.Decided != nil {
-		x.d.Decided(e)
+	if x.d.OnDecision != nil {
+		x.d.OnDecision(e)
 	}
 }
 
--- a/internal/request/dispatcher/identify.go
+++ b/internal/request/dispatcher/identify.go
@@ -30,7 +30,7 @@
 		x.deny(http.StatusUnauthorized, string(flaw))
 		return false
 	}
-	if x.d.Uncertain != nil && x.d.Uncertain() {
+	if x.d.KeysUnconfirmed != nil && x.d.KeysUnconfirmed() {
 		x.refuseNotRun(http.StatusServiceUnavailable, reasonKeysUnconfirmed, unknownRetryAfter)
 		return false
 	}
--- a/internal/request/dispatcher/identify_test.go
+++ b/internal/request/dispatcher/identify_test.go
@@ -39,7 +39,7 @@
 	s := newHarnessWithKeys(t, matcher.Idempotent, keyOf("a", "k"))
 	s.add(t, "u", succeeds)
 	behind := timekeeper.Millis(0)
-	s.Behind = func() timekeeper.Millis { return behind }
+	s.ConfigLag = func() timekeeper.Millis { return behind }
 
 	p, _ := s.do(http.MethodGet, "known", withKey("k"))
 	is.Equal(p.StatusCode, http.StatusOK)
--- a/internal/request/dispatcher/loss.go
+++ b/internal/request/dispatcher/loss.go
@@ -38,15 +38,15 @@
 	// Loss describes a connection that was closed during a request before its response was
 	// complete.
 	Loss struct {
-		ID       string
-		Service  resolver.ServiceName
-		Upstream cataloger.Upstream
-		Ending   UpstreamState
+		ID            string
+		Service       resolver.ServiceName
+		Upstream      cataloger.Upstream
+		UpstreamState UpstreamState
 		// Suspect is what is known of the request, including this loss.
 		Suspect quarantiner.Suspect
 
 		// observation is what was known of the request when it was sent.
-		observation quarantiner.Sighting
+		observation quarantiner.Observation
 	}
 )
 
@@ -72,11 +72,11 @@
 }
 
 func (d *Dispatcher) runCheck(l *Loss, t *tracker.Upstream) {
-	l.Ending = d.probeUpstream(&l.Upstream, t)
-	if l.Ending == Terminated && d.Quarantine != nil {
-		l.Suspect = d.Quarantine.Crashed(l.observation)
+	l.UpstreamState = d.probeUpstream(&l.Upstream, t)
+	if l.UpstreamState == Terminated && d.Quarantine != nil {
+		l.Suspect = d.Quarantine.RecordCrash(l.observation)
 	}
-	d.Meter.Count("upstream_losses", measurer.Labels{Service: string(l.Service), Kind: string(l.Ending)})
+	d.Meter.Count("upstream_losses", measurer.Labels{Service: string(l.Service), Kind: string(l.UpstreamState)})
 	if d.Lost != nil {
 		d.Lost(l)
 	}
--- a/internal/request/dispatcher/loss_test.go
+++ b/internal/request/dispatcher/loss_test.go
@@ -53,7 +53,7 @@
 			p, _ := s.do(http.MethodPost, "id", nil)
 			is.Equal(p.StatusCode, http.StatusBadGateway)
 			loss := <-losses
-			is.Equal(loss.Ending, x.want)
+			is.Equal(loss.UpstreamState, x.want)
 			is.Equal(loss.ID, "id")
 			is.Equal(loss.Upstream.ID, cataloger.UpstreamID("u"))
 			is.Equal(loss.Suspect.Fingerprint, quarantiner.Content{
--- a/internal/request/dispatcher/measure.go
+++ b/internal/request/dispatcher/measure.go
@@ -12,7 +12,7 @@
 // measure records the metrics of a finished request.
 func (d *Dispatcher) measure(e *Decision) {
 	l := measurer.Labels{Service: e.Service, Class: e.Class, Kind: e.Outcome}
-	d.Meter.Observe("request_seconds", l, e.Took.Duration())
+	d.Meter.Observe("request_seconds", l, e.Elapsed.Duration())
 	if e.SentAfter >= 0 {
 		d.Meter.Observe("first_send_seconds", l, e.SentAfter.Duration())
 	}
@@ -31,7 +31,7 @@
 		return
 	}
 	l := measurer.Labels{Class: d.organisations.label(e.Organisation), Kind: e.Outcome}
-	d.Meter.Observe("organisation_seconds", l, e.Took.Duration())
+	d.Meter.Observe("organisation_seconds", l, e.Elapsed.Duration())
 }
 
 // measurePlacement counts requests by the reason for their placement.
--- a/internal/request/dispatcher/placement_test.go
+++ b/internal/request/dispatcher/placement_test.go
@@ -19,7 +19,7 @@
 	s := newHarness(t, matcher.Idempotent)
 	s.Homes = &assigner.Assigner{Region: "east", Regions: []string{"east"}}
 	var decision dispatcher.Decision
-	s.Decided = func(d *dispatcher.Decision) { decision = *d }
+	s.OnDecision = func(d *dispatcher.Decision) { decision = *d }
 	placed := func(key string) string {
 		_, _ = s.do(http.MethodGet, "id", func(r *http.Request) { r.Header.Set(fields.Key, key) })
 		return decision.Placement.Kind()
@@ -58,7 +58,7 @@
 	s := newHarness(t, matcher.Idempotent)
 	s.Homes = &assigner.Assigner{Region: "east", Regions: []string{"east"}}
 	var decision dispatcher.Decision
-	s.Decided = func(d *dispatcher.Decision) { decision = *d }
+	s.OnDecision = func(d *dispatcher.Decision) { decision = *d }
 	s.add(t, "u1", abortsConnection)
 	_, _ = s.do(http.MethodGet, "first", nil)
 	is.Equal(decision.Placement.Reason, assigner.NotPlaced) // broken off, and no other upstream
@@ -66,7 +66,7 @@
 	_, _ = s.do(http.MethodGet, "second", nil)
 	is.Equal(decision.Outcome, "answered")
 	is.Equal(decision.Upstream, cataloger.UpstreamID("u2"))
-	is.Equal(decision.Tries, 2)
+	is.Equal(decision.Attempts, 2)
 	is.Equal(decision.Placement.Reason, assigner.RetriedElsewhere)
 }
 
@@ -77,7 +77,7 @@
 	s := newHarness(t, matcher.Idempotent)
 	s.Homes = &assigner.Assigner{Region: "east", Regions: []string{"east"}}
 	var decision dispatcher.Decision
-	s.Decided = func(d *dispatcher.Decision) { decision = *d }
+	s.OnDecision = func(d *dispatcher.Decision) { decision = *d }
 	s.add(t, "u1", succeeds)
 	_, _ = s.do(http.MethodGet, "id", nil)
 	is.Equal(decision.Placement.Kind(), "new key")
@@ -99,9 +99,9 @@
 	s := newHarness(t, matcher.Once)
 	s.Homes = &assigner.Assigner{Region: "east", Regions: []string{"east"}}
 	var decision dispatcher.Decision
-	s.Decided = func(d *dispatcher.Decision) { decision = *d }
+	s.OnDecision = func(d *dispatcher.Decision) { decision = *d }
 	s.add(t, "u1", firstOf(refuses, succeeds))
 	_, _ = s.do(http.MethodPost, "id", nil)
-	is.Equal(decision.Tries, 2)
+	is.Equal(decision.Attempts, 2)
 	is.Equal(decision.Placement.Kind(), "repeat there")
 }
--- a/internal/request/dispatcher/quarantine.go
+++ b/internal/request/dispatcher/quarantine.go
@@ -43,11 +43,11 @@
 	if !x.anySuspects() {
 		return false
 	}
-	x.observation = x.d.Quarantine.Look(x.requestFingerprint(), x.observation)
+	x.observation = x.d.Quarantine.Check(x.requestFingerprint(), x.observation)
 	if x.observation.Crashes > 0 {
 		x.decision.Suspect = x.observation.Suspect
 	}
-	if !x.observation.Barred {
+	if !x.observation.Refused {
 		return false
 	}
 	x.refuseNotRun(http.StatusServiceUnavailable, x.withPriorReason("quarantined"), x.observation.After)
@@ -87,7 +87,7 @@
 		return
 	}
 	if proof := x.d.Fields.Proof; proof == "" || a.Header.Get(proof) != "" {
-		x.d.Quarantine.Answered(x.requestFingerprint())
+		x.d.Quarantine.RecordAnswer(x.requestFingerprint())
 	}
 }
 
--- a/internal/request/dispatcher/quarantine_test.go
+++ b/internal/request/dispatcher/quarantine_test.go
@@ -23,7 +23,7 @@
 	s := newHarness(t, matcher.Idempotent)
 	s.add(t, "u", succeeds)
 	s.Quarantine = &quarantiner.Quarantiner{}
-	s.Quarantine.Learn([]quarantiner.Suspect{{Fingerprint: contentOf(http.MethodGet).Fingerprint(), Crashes: 3}})
+	s.Quarantine.Merge([]quarantiner.Suspect{{Fingerprint: contentOf(http.MethodGet).Fingerprint(), Crashes: 3}})
 	p, _ := s.do(http.MethodGet, "barred", nil)
 	is.Equal(p.StatusCode, http.StatusServiceUnavailable)
 	is.True(p.Header.Get("Retry-After") != "")
@@ -61,7 +61,7 @@
 			s := newHarness(t, x.kind)
 			s.Quarantine = &quarantiner.Quarantiner{}
 			if x.crashes > 0 {
-				s.Quarantine.Learn([]quarantiner.Suspect{{Fingerprint: contentOf(http.MethodGet).Fingerprint(), Crashes: x.crashes}})
+				s.Quarantine.Merge([]quarantiner.Suspect{{Fingerprint: contentOf(http.MethodGet).Fingerprint(), Crashes: x.crashes}})
 			}
 			for _, id := range []string{"u-1", "u-2", "u-3"} {
 				var l *httptest.Server
@@ -86,7 +86,7 @@
 			is := is.New(t)
 			s := newHarness(t, matcher.Once)
 			s.Quarantine = &quarantiner.Quarantiner{}
-			s.Quarantine.Learn([]quarantiner.Suspect{{Fingerprint: contentOf(http.MethodPost).Fingerprint(), Crashes: 2}})
+			s.Quarantine.Merge([]quarantiner.Suspect{{Fingerprint: contentOf(http.MethodPost).Fingerprint(), Crashes: 2}})
 			s.add(t, "u", x.serve)
 			s.do(http.MethodPost, "id", nil)
 			is.Equal(!s.Quarantine.HasSuspects(), x.cleared)
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -99,9 +99,9 @@
 	return f.runKeyed(ctx, c, s, keykeeper.Key(key))
 }
 
-// Names reports whether a request names a service. Its path is then not one of the daemon's
+// NamesService reports whether a request names a service. Its path is then not one of the daemon's
 // own.
-func (f *Forwarder) Names(r *http.Request) bool {
+func (f *Forwarder) NamesService(r *http.Request) bool {
 	if r.Header.Get(HeaderService) != "" {
 		return true
 	}
--- a/internal/request/forwarder/keyed.go
+++ b/internal/request/forwarder/keyed.go
@@ -31,8 +31,8 @@
 	maxKeyBytes  = 200
 )
 
-// OutcomeAnswer is the response to GET /Outcome?Key=….
-type OutcomeAnswer struct {
+// OutcomeResponse is the response to GET /Outcome?Key=….
+type OutcomeResponse struct {
 	Key     string
 	State   string
 	Outcome string `json:",omitempty"`
@@ -236,11 +236,11 @@
 // another daemon.
 func (f *Forwarder) ServeOutcome(w http.ResponseWriter, r *http.Request) {
 	key := keykeeper.Key(r.URL.Query().Get("Key"))
-	a := OutcomeAnswer{Key: string(key), State: "absent"}
+	a := OutcomeResponse{Key: string(key), State: "absent"}
 	s := f.Snapshot()
 	if key == "" || s == nil {
 		w.WriteHeader(http.StatusBadRequest)
-		_ = json.NewEncoder(w).Encode(OutcomeAnswer{Reason: "Key is missing"})
+		_ = json.NewEncoder(w).Encode(OutcomeResponse{Reason: "Key is missing"})
 		return
 	}
 	h, ok := f.home(s, key)
@@ -271,7 +271,7 @@
 	return exchanger.Refused(exchanger.ReasonKeyUnknown, 0)
 }
 
-func (f *Forwarder) lookUp(a *OutcomeAnswer, key keykeeper.Key) {
+func (f *Forwarder) lookUp(a *OutcomeResponse, key keykeeper.Key) {
 	state, result := f.Keys.Lookup(key)
 	switch state {
 	case keykeeper.Running:
--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -121,8 +121,8 @@
 	if !ok {
 		return exchanger.Result{}, false
 	}
-	t.observation = f.Quarantine.Look(known, t.observation)
-	return exchanger.Refused(exchanger.ReasonQuarantined, t.observation.After), t.observation.Barred
+	t.observation = f.Quarantine.Check(known, t.observation)
+	return exchanger.Refused(exchanger.ReasonQuarantined, t.observation.After), t.observation.Refused
 }
 
 // updateSuspect records what the result of an attempt says about its call: that it crashed the
@@ -141,14 +141,14 @@
 	case !ok:
 	case crashed:
 		t.observation.Fingerprint = known
-		t.isolated = f.Quarantine.Crashed(t.observation).Isolated()
+		t.isolated = f.Quarantine.RecordCrash(t.observation).Isolated()
 	default:
-		f.Quarantine.Answered(known)
+		f.Quarantine.RecordAnswer(known)
 	}
 }
 
-// Admit refuses a call that was quarantined while it waited for a slot.
-func (f *Forwarder) Admit(c *exchanger.Call) (exchanger.Result, bool) {
+// RefuseQuarantined refuses a call that was quarantined while it waited for a slot.
+func (f *Forwarder) RefuseQuarantined(c *exchanger.Call) (exchanger.Result, bool) {
 	if c.Body != nil || !f.anySuspects() {
 		return exchanger.Result{}, false
 	}
--- a/internal/request/forwarder/quarantine_test.go
+++ b/internal/request/forwarder/quarantine_test.go
@@ -27,7 +27,7 @@
 		got.Store(n)
 	})
 	f.Quarantine = &quarantiner.Quarantiner{}
-	f.Quarantine.Crashed(quarantiner.Sighting{Suspect: quarantiner.Suspect{Fingerprint: quarantiner.Fingerprint{1}}})
+	f.Quarantine.RecordCrash(quarantiner.Observation{Suspect: quarantiner.Suspect{Fingerprint: quarantiner.Fingerprint{1}}})
 	reader, writer := io.Pipe()
 	c := call(http.MethodPut)
 	c.Body, c.Length = reader, 40_000
@@ -57,7 +57,7 @@
 	}
 	long := string(bytes.Repeat([]byte("long"), 10_000))
 	content := quarantiner.Content{Method: http.MethodPut, Host: string(service), Target: "/x", Body: []byte(long[:16<<10]), Length: int64(len(long))}
-	f.Quarantine.Learn([]quarantiner.Suspect{{Fingerprint: content.Fingerprint(), Crashes: 3}})
+	f.Quarantine.Merge([]quarantiner.Suspect{{Fingerprint: content.Fingerprint(), Crashes: 3}})
 	barred := run(long)
 	is.Equal(barred.Outcome, exchanger.NotRun)
 	is.Equal(barred.Reason, exchanger.ReasonQuarantined)
--- a/internal/request/forwarder/route.go
+++ b/internal/request/forwarder/route.go
@@ -71,7 +71,7 @@
 	// suspect before its last attempt. isolated means that the call has crashed more than one
 	// upstream.
 	fingerprint *quarantiner.Fingerprint
-	observation quarantiner.Sighting
+	observation quarantiner.Observation
 	isolated    bool
 }
 
--- a/internal/request/quarantiner/list.go
+++ b/internal/request/quarantiner/list.go
@@ -45,7 +45,7 @@
 // List returns the suspects as operators see them.
 func (q *Quarantiner) List() Listing {
 	l := Listing{Suspects: []ListedSuspect{}}
-	for _, s := range q.All() {
+	for _, s := range q.Suspects() {
 		x := ListedSuspect{Fingerprint: s.Fingerprint.String(), Crashes: s.Crashes, Quarantined: s.Quarantined(), AgeMillis: s.Age}
 		if s.Quarantined() {
 			x.LeftMillis = max(s.remaining(), 0)
--- a/internal/request/quarantiner/quarantiner.go
+++ b/internal/request/quarantiner/quarantiner.go
@@ -24,12 +24,12 @@
 	// Quarantiner tracks the suspects known to one daemon. The zero value knows none.
 	Quarantiner struct {
 		Clock timekeeper.Clock
-		// Changed is called with what this daemon observed itself, so that it can inform the
+		// OnChange is called with what this daemon observed itself, so that it can inform the
 		// other daemons. It must neither block nor call the Quarantiner. It may be nil.
-		Changed func(Change)
-		// MayTry reports whether it is this daemon's turn to let a request through whose
+		OnChange func(Change)
+		// AllowTrial reports whether it is this daemon's turn to let a request through whose
 		// quarantine has been over for some time. Nil means always.
-		MayTry func(f Fingerprint, over timekeeper.Millis) bool
+		AllowTrial func(f Fingerprint, over timekeeper.Millis) bool
 
 		lock    sync.Mutex
 		records map[Fingerprint]*record
@@ -51,15 +51,15 @@
 		trialUntil timekeeper.Millis
 	}
 
-	// Sighting is what was known of a request when a run of it started. The zero value stands
+	// Observation is what was known of a request when a run of it started. The zero value stands
 	// for a request that is not a suspect.
-	Sighting struct {
+	Observation struct {
 		Suspect
 		// Trial means that the request is in quarantine but is let through.
 		Trial bool
-		// Barred means that the request must not be sent. After is its Retry-After time.
-		Barred bool
-		After  timekeeper.Millis
+		// Refused means that the request must not be sent. After is its Retry-After time.
+		Refused bool
+		After   timekeeper.Millis
 	}
 )
 
@@ -78,17 +78,17 @@
 	return q.suspectCount.Load() > 0
 }
 
-// Look returns what is known of a request before a run of it, and whether it may be sent.
+// Check returns what is known of a request before a run of it, and whether it may be sent.
 // Before is the previous result for the same request by the same caller: a request that was
 // let through as a trial stays so until something new is known.
-func (q *Quarantiner) Look(f Fingerprint, before Sighting) Sighting {
+func (q *Quarantiner) Check(f Fingerprint, before Observation) Observation {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	r := q.records[f]
 	if r == nil {
-		return Sighting{Suspect: Suspect{Fingerprint: f}}
+		return Observation{Suspect: Suspect{Fingerprint: f}}
 	}
-	s := Sighting{Suspect: q.current(r)}
+	s := Observation{Suspect: q.current(r)}
 	if !s.Quarantined() {
 		return s
 	}
@@ -114,24 +114,24 @@
 
 // checkQuarantined decides whether a quarantined request is let through as a trial. The caller
 // holds the lock.
-func (q *Quarantiner) checkQuarantined(r *record, s Sighting) Sighting {
+func (q *Quarantiner) checkQuarantined(r *record, s Observation) Observation {
 	now := q.Clock.Now()
 	remaining := s.remaining()
-	if remaining <= 0 && now >= r.trialUntil && (q.MayTry == nil || q.MayTry(s.Fingerprint, -remaining)) {
+	if remaining <= 0 && now >= r.trialUntil && (q.AllowTrial == nil || q.AllowTrial(s.Fingerprint, -remaining)) {
 		r.trialUntil = now + TrialInterval
 		s.Trial = true
 		return s
 	}
-	s.Barred, s.After = true, remaining
+	s.Refused, s.After = true, remaining
 	if remaining <= 0 {
 		s.After = TrialInterval
 	}
 	return s
 }
 
-// Crashed records that an upstream terminated during a run, where s is the result of Look
+// RecordCrash records that an upstream terminated during a run, where s is the result of Look
 // before that run. It returns what is known now.
-func (q *Quarantiner) Crashed(s Sighting) Suspect {
+func (q *Quarantiner) RecordCrash(s Observation) Suspect {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	found := s.Suspect
@@ -144,8 +144,8 @@
 	return q.recordLocal(found)
 }
 
-// Answered records that an upstream gave a complete response to a request, which clears it.
-func (q *Quarantiner) Answered(f Fingerprint) {
+// RecordAnswer records that an upstream gave a complete response to a request, which clears it.
+func (q *Quarantiner) RecordAnswer(f Fingerprint) {
 	q.Clear(f)
 }
 
@@ -169,15 +169,15 @@
 		return before
 	}
 	q.evict()
-	if q.Changed != nil {
-		q.Changed(Change{before, found})
+	if q.OnChange != nil {
+		q.OnChange(Change{before, found})
 	}
 	return found
 }
 
-// Learn merges what another daemon knows. It returns what was new here, and newer knowledge of
+// Merge merges what another daemon knows. It returns what was new here, and newer knowledge of
 // the same requests that the other daemon lacks.
-func (q *Quarantiner) Learn(list []Suspect) (adopted []Change, newer []Suspect) {
+func (q *Quarantiner) Merge(list []Suspect) (adopted []Change, newer []Suspect) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	for _, s := range list {
@@ -213,8 +213,8 @@
 	return before, true
 }
 
-// All returns the suspects, ordered by descending number of crashes and then by age.
-func (q *Quarantiner) All() []Suspect {
+// Suspects returns the suspects, ordered by descending number of crashes and then by age.
+func (q *Quarantiner) Suspects() []Suspect {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.evict()
--- a/internal/request/quarantiner/quarantiner_test.go
+++ b/internal/request/quarantiner/quarantiner_test.go
@@ -27,8 +27,8 @@
 	for range daemons {
 		d := &daemon{}
 		d.Quarantiner = &quarantiner.Quarantiner{
-			Clock:   timekeeper.Clock{Monotonic: func() timekeeper.Millis { return w.now }},
-			Changed: func(c quarantiner.Change) { d.outbox = append(d.outbox, c.Now) },
+			Clock:    timekeeper.Clock{Monotonic: func() timekeeper.Millis { return w.now }},
+			OnChange: func(c quarantiner.Change) { d.outbox = append(d.outbox, c.Now) },
 		}
 		w.daemons = append(w.daemons, d)
 	}
@@ -39,7 +39,7 @@
 func (w *fleet) deliver() {
 	for _, d := range w.daemons {
 		for _, o := range w.daemons {
-			o.Learn(d.outbox)
+			o.Merge(d.outbox)
 		}
 		d.outbox = nil
 	}
@@ -53,16 +53,16 @@
 
 // crash runs a request that crashes its upstream, unless the daemon refuses it.
 func (d *daemon) crash(f quarantiner.Fingerprint) bool {
-	s := d.Look(f, quarantiner.Sighting{})
-	if s.Barred {
+	s := d.Check(f, quarantiner.Observation{})
+	if s.Refused {
 		return false
 	}
-	d.Crashed(s)
+	d.RecordCrash(s)
 	return true
 }
 
 func (d *daemon) refused(f quarantiner.Fingerprint) bool {
-	return d.Look(f, quarantiner.Sighting{}).Barred
+	return d.Check(f, quarantiner.Observation{}).Refused
 }
 
 // TestThirdCrashBarsEverywhere has one crash at each of three daemons, which quarantines the
@@ -75,8 +75,8 @@
 		w.deliver()
 	}
 	for _, d := range w.daemons {
-		s := d.Look(crashing, quarantiner.Sighting{})
-		is.True(s.Barred)
+		s := d.Check(crashing, quarantiner.Observation{})
+		is.True(s.Refused)
 		is.Equal(s.After, 2*timekeeper.Minute)
 		is.True(!d.refused(fingerprintOf(1))) // another request
 		is.Equal(d.Digest(), w.daemons[0].Digest())
@@ -89,17 +89,17 @@
 	is := is.New(t)
 	w := newFleet(3)
 	for range 4 {
-		var begun []quarantiner.Sighting
+		var begun []quarantiner.Observation
 		for n := range 6 {
-			begun = append(begun, w.daemons[n%3].Look(crashing, quarantiner.Sighting{}))
+			begun = append(begun, w.daemons[n%3].Check(crashing, quarantiner.Observation{}))
 		}
 		for n, s := range begun {
-			is.True(!s.Barred)
-			w.daemons[n%3].Crashed(s)
+			is.True(!s.Refused)
+			w.daemons[n%3].RecordCrash(s)
 			w.deliver()
 		}
 		is.True(!w.daemons[0].refused(crashing))
-		w.daemons[1].Answered(crashing) // an upstream elsewhere responds
+		w.daemons[1].RecordAnswer(crashing) // an upstream elsewhere responds
 		w.deliver()
 	}
 	is.True(!w.daemons[2].HasSuspects())
@@ -112,18 +112,18 @@
 	for range 2 {
 		w.daemons[0].crash(crashing)
 	}
-	stale := w.daemons[0].All()
-	before := w.daemons[0].Look(crashing, quarantiner.Sighting{})
+	stale := w.daemons[0].Suspects()
+	before := w.daemons[0].Check(crashing, quarantiner.Observation{})
 	w.deliver()
-	w.daemons[1].Answered(crashing)
+	w.daemons[1].RecordAnswer(crashing)
 	w.deliver()
 	is.True(!w.daemons[0].HasSuspects())
 	// A daemon that missed the clearing is sent it.
-	_, newer := w.daemons[0].Learn(stale)
+	_, newer := w.daemons[0].Merge(stale)
 	is.Equal(len(newer), 1)
 	is.True(!w.daemons[0].HasSuspects())
 	// A crash of a run that started before the clearing counts as the first one since.
-	is.Equal(w.daemons[0].Crashed(before).Crashes, uint32(1))
+	is.Equal(w.daemons[0].RecordCrash(before).Crashes, uint32(1))
 }
 
 // TestQuarantineIsTriedByOne lets the quarantine period pass. One daemon lets the request
@@ -132,7 +132,7 @@
 	is := is.New(t)
 	w := newFleet(3)
 	for n, d := range w.daemons {
-		d.MayTry = func(quarantiner.Fingerprint, timekeeper.Millis) bool { return n == 1 }
+		d.AllowTrial = func(quarantiner.Fingerprint, timekeeper.Millis) bool { return n == 1 }
 	}
 	for range 3 {
 		w.daemons[0].crash(crashing)
@@ -144,18 +144,18 @@
 	}
 	w.now++
 	is.True(w.daemons[0].refused(crashing))
-	s := w.daemons[1].Look(crashing, quarantiner.Sighting{})
-	is.True(s.Trial && !s.Barred)
-	is.True(w.daemons[1].refused(crashing))         // while the trial is running
-	is.True(!w.daemons[1].Look(crashing, s).Barred) // for the request that was let through
-	is.Equal(w.daemons[1].Crashed(s).Crashes, uint32(4))
-	is.True(w.daemons[1].Look(crashing, s).Barred) // not for another attempt
+	s := w.daemons[1].Check(crashing, quarantiner.Observation{})
+	is.True(s.Trial && !s.Refused)
+	is.True(w.daemons[1].refused(crashing))           // while the trial is running
+	is.True(!w.daemons[1].Check(crashing, s).Refused) // for the request that was let through
+	is.Equal(w.daemons[1].RecordCrash(s).Crashes, uint32(4))
+	is.True(w.daemons[1].Check(crashing, s).Refused) // not for another attempt
 	w.deliver()
-	is.Equal(w.daemons[2].Look(crashing, quarantiner.Sighting{}).After, 8*timekeeper.Minute)
+	is.Equal(w.daemons[2].Check(crashing, quarantiner.Observation{}).After, 8*timekeeper.Minute)
 
 	w.now += 8 * timekeeper.Minute
-	is.True(w.daemons[1].Look(crashing, quarantiner.Sighting{}).Trial)
-	w.daemons[1].Answered(crashing)
+	is.True(w.daemons[1].Check(crashing, quarantiner.Observation{}).Trial)
+	w.daemons[1].RecordAnswer(crashing)
 	w.deliver()
 	for _, d := range w.daemons {
 		is.True(!d.refused(crashing))
@@ -176,7 +176,7 @@
 		d.crash(fingerprintOf(n + 1))
 	}
 	is.True(d.refused(crashing))
-	is.Equal(len(d.All()), quarantiner.MaxSuspects/2+1)
+	is.Equal(len(d.Suspects()), quarantiner.MaxSuspects/2+1)
 	for n := range 600 {
 		w.now++
 		for range 3 {
@@ -184,17 +184,17 @@
 		}
 	}
 	held := 0
-	for _, s := range d.All() {
+	for _, s := range d.Suspects() {
 		if s.Quarantined() {
 			held++
 		}
 	}
 	is.Equal(held, quarantiner.MaxSuspects/2)
-	is.True(len(d.All()) <= quarantiner.MaxSuspects)
+	is.True(len(d.Suspects()) <= quarantiner.MaxSuspects)
 	is.True(!d.refused(crashing)) // the oldest
 	is.True(d.refused(fingerprintOf(5599)))
 	is.True(d.crash(fingerprintOf(9999))) // there is room for new suspects
-	is.Equal(d.Look(fingerprintOf(9999), quarantiner.Sighting{}).Crashes, uint32(1))
+	is.Equal(d.Check(fingerprintOf(9999), quarantiner.Observation{}).Crashes, uint32(1))
 }
 
 // TestSuspectsExpire lets time pass without another crash.
@@ -207,11 +207,11 @@
 		d.crash(crashing)
 	}
 	w.now += 5*timekeeper.Minute + 1
-	is.Equal(len(d.All()), 1)
-	is.True(d.All()[0].Quarantined()) // although its period is over
-	w.daemons[1].Learn(d.All())
+	is.Equal(len(d.Suspects()), 1)
+	is.True(d.Suspects()[0].Quarantined()) // although its period is over
+	w.daemons[1].Merge(d.Suspects())
 	w.now += 6 * timekeeper.Hour
-	is.Equal(len(d.All()), 0)
+	is.Equal(len(d.Suspects()), 0)
 	is.True(!w.daemons[1].refused(crashing))
 	is.Equal(d.Digest(), uint64(0))
 }
@@ -224,7 +224,7 @@
 		w.daemons[0].crash(fingerprintOf(n))
 	}
 	for b.Loop() {
-		w.daemons[0].Look(crashing, quarantiner.Sighting{})
+		w.daemons[0].Check(crashing, quarantiner.Observation{})
 	}
 }
 
@@ -245,7 +245,7 @@
 	for over := timekeeper.Millis(0); over < 8*quarantiner.TrialInterval; over += quarantiner.TrialInterval / 2 {
 		holders := 0
 		for _, name := range all {
-			if quarantiner.Turn(crashing, over, name, all) {
+			if quarantiner.IsTurn(crashing, over, name, all) {
 				turns[name]++
 				holders++
 			}
--- a/test/keys_test.go
+++ b/test/keys_test.go
@@ -130,7 +130,7 @@
 	resp, err := http.Get("http://" + rest[0].callers + "/Outcome?Key=" + lostIncarnation + ".0")
 	is.NoErr(err)
 	defer resp.Body.Close()
-	var a forwarder.OutcomeAnswer
+	var a forwarder.OutcomeResponse
 	is.NoErr(json.NewDecoder(resp.Body).Decode(&a))
 	is.Equal(a.Outcome, "unknown")
 	second, err := http.Get("http://" + rest[0].callers + "/Outcome?Key=" + keys[3])
