--- a/internal/process/changer/changer.go
+++ b/internal/process/changer/changer.go
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	if resolver.Clash(edits, content.Edits) {
+	if resolver.Conflict(edits, content.Edits) {
 		return &recorder.ConflictError{Theirs: other}
 	}
 	return nil
@@ -170,7 +170,7 @@
 			r.Edits = content.Inverse
 			continue
 		}
-		if r.Edits != nil && !r.Force && resolver.Clash(r.Edits, content.Edits) {
+		if r.Edits != nil && !r.Force && resolver.Conflict(r.Edits, content.Edits) {
 			return nil, &recorder.ConflictError{Theirs: x}
 		}
 	}
--- a/internal/process/commander/organisations.go
+++ b/internal/process/commander/organisations.go
@@ -82,7 +82,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			line, _ := bufio.NewReader(c.InOrStdin()).ReadString('\n')
 			key, flaw := authenticator.Credential([]string{strings.TrimSpace(line)})
-			if flaw != authenticator.Sound {
+			if flaw != authenticator.Valid {
 				return commandError{ExitInput, "standard input: " + string(flaw)}
 			}
 			d := authenticator.DigestOf(key).String()
--- a/internal/process/commander/steer.go
+++ b/internal/process/commander/steer.go
@@ -216,7 +216,7 @@
 			if len(args) > 1 {
 				v.Set("Block", args[1])
 			}
-			var response steerer.Answer
+			var response steerer.Response
 			if err := cl.get(ctx, operator.PathLookup+"?"+v.Encode(), &response); err != nil {
 				return err
 			}
--- a/internal/process/follower/follow.go
+++ b/internal/process/follower/follow.go
@@ -126,7 +126,7 @@
 			return limiter.FleetView{Known: 1, Reachable: 1, IsAllocator: true, SingleDaemon: true}
 		},
 		Organisation: func(h hasher.Hash) *authenticator.Organisation {
-			return f.front.Config().Organisations.Known(h)
+			return f.front.Config().Organisations.ByHash(h)
 		},
 		Send: func(limiter.Envelope) {},
 	})
--- a/internal/process/leader/plan.go
+++ b/internal/process/leader/plan.go
@@ -222,7 +222,7 @@
 // memberCounts returns the number of members on the roster of each region.
 func (l *Leader) memberCounts() map[string]int {
 	out := map[string]int{}
-	for _, o := range l.Replica.Under(registrar.Prefix) {
+	for _, o := range l.Replica.WithPrefix(registrar.Prefix) {
 		if r, err := registrar.Decode(o.Body); err == nil && len(r.Members) > 0 {
 			out[r.Region] = len(r.Members)
 		}
--- a/internal/request/assigner/assigner_test.go
+++ b/internal/request/assigner/assigner_test.go
@@ -37,7 +37,7 @@
 			})
 		}
 	}
-	all := c.Current().Of("s")
+	all := c.Current().ByService("s")
 	slices.SortFunc(all, func(x, y *cataloger.Upstream) int { return cmp.Compare(x.ID, y.ID) })
 	return &fixture{all: all}
 }
--- a/internal/request/dispatcher/answer.go
+++ b/internal/request/dispatcher/answer.go
@@ -67,7 +67,7 @@
 // retriesFailure reports whether a failed request should be retried at another upstream. The
 // response to the last allowed attempt is forwarded.
 func (x *exchange) retriesFailure() bool {
-	return x.route.Kind.Repeatable() && len(x.attempted) < x.route.Attempts && x.expiresAt-x.d.Clock.Now() > minAttemptTime && x.d.Retries.Available(x.service)
+	return x.route.Kind.Retryable() && len(x.attempted) < x.route.Attempts && x.expiresAt-x.d.Clock.Now() > minAttemptTime && x.d.Retries.Available(x.service)
 }
 
 // discardResponse handles a response that must not be forwarded.
--- a/internal/request/dispatcher/choose.go
+++ b/internal/request/dispatcher/choose.go
@@ -22,7 +22,7 @@
 	}
 	s := x.d.Catalog()
 	x.decision.Catalog = s.Change
-	all := s.Of(x.service)
+	all := s.ByService(x.service)
 	var space [maxCandidates]*cataloger.Upstream
 	list := space[:0]
 	if x.hasHome() {
--- a/internal/request/dispatcher/dispatcher.go
+++ b/internal/request/dispatcher/dispatcher.go
@@ -175,7 +175,7 @@
 		return false
 	}
 	route := c.Match(r.Host, pathOf(r))
-	return route != nil && route.Kind.Repeatable()
+	return route != nil && route.Kind.Retryable()
 }
 
 // placer returns a placer that uses the mechanisms that are switched on.
--- a/internal/request/dispatcher/identify.go
+++ b/internal/request/dispatcher/identify.go
@@ -25,7 +25,7 @@
 		return true
 	}
 	key, flaw := authenticator.Credential(x.r.Header[http.CanonicalHeaderKey(x.d.Fields.Credential)])
-	if flaw != authenticator.Sound {
+	if flaw != authenticator.Valid {
 		// A newer configuration may have made the route public.
 		x.deny(http.StatusUnauthorized, string(flaw))
 		return false
@@ -69,10 +69,10 @@
 // hasTopRank reports whether no request of the configuration takes precedence over this one.
 // The organisation's rank is compared before the route's.
 func (x *exchange) hasTopRank() bool {
-	if o := x.organisation; o != nil && o.Rank != x.config.Leading() {
+	if o := x.organisation; o != nil && o.Rank != x.config.MostUrgentOrganisationRank() {
 		return false
 	}
-	return x.route.Rank <= x.config.Urgent(x.service)
+	return x.route.Rank <= x.config.MostUrgentRank(x.service)
 }
 
 // bindKey uses a separate home for the request's key, shared by organisations that are bound
@@ -80,7 +80,7 @@
 // the common home would move back and forth between their requests.
 func (x *exchange) bindKey(all []*cataloger.Upstream) {
 	x.key = x.sharedKey
-	if b := x.organisation.Bound(); b != 0 && x.d.Homes.HomeNotAllowed(x.key, all, x.allowsRegion) {
+	if b := x.organisation.RegionsHash(); b != 0 && x.d.Homes.HomeNotAllowed(x.key, all, x.allowsRegion) {
 		x.key = hasher.Mix(x.key, b)
 	}
 }
--- a/internal/request/dispatcher/identify_test.go
+++ b/internal/request/dispatcher/identify_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Config().Admit(d)
+	s.Config().SetOrganisations(d)
 	return s
 }
 
@@ -64,7 +64,7 @@
 	is := is.New(t)
 	s := newHarnessWithKeys(t, matcher.Idempotent, keyOf("a", "k"))
 	without := *s.Config()
-	without.Admit(&authenticator.Directory{})
+	without.SetOrganisations(&authenticator.Directory{})
 	var config atomic.Pointer[matcher.Config]
 	config.Store(s.Config())
 	s.Config = config.Load
--- a/internal/request/dispatcher/limit_test.go
+++ b/internal/request/dispatcher/limit_test.go
@@ -26,7 +26,7 @@
 	s.Limits = limiter.New(limiter.Options{
 		Tolerance:    func() limiter.Tolerance { return limiter.Tolerance{Window: 5000} },
 		FleetView:    func() limiter.FleetView { return limiter.FleetView{Known: 1, Reachable: 1, IsAllocator: true} },
-		Organisation: func(h hasher.Hash) *authenticator.Organisation { return s.Config().Organisations.Known(h) },
+		Organisation: func(h hasher.Hash) *authenticator.Organisation { return s.Config().Organisations.ByHash(h) },
 		Send:         func(limiter.Envelope) {},
 		Clock:        timekeeper.Clock{Monotonic: func() timekeeper.Millis { return now }},
 	})
--- a/internal/request/dispatcher/quarantine.go
+++ b/internal/request/dispatcher/quarantine.go
@@ -101,5 +101,5 @@
 
 // retryable reports whether the request could be sent again after it may have run.
 func (x *exchange) retryable() bool {
-	return x.route.Kind.Repeatable() && x.streamedBody == nil && len(x.attempted)-x.misdirected < x.route.Attempts
+	return x.route.Kind.Retryable() && x.streamedBody == nil && len(x.attempted)-x.misdirected < x.route.Attempts
 }
--- a/internal/request/dispatcher/send.go
+++ b/internal/request/dispatcher/send.go
@@ -19,7 +19,7 @@
 		return "no time left"
 	case len(x.attempted) == 0:
 		return ""
-	case x.mayHaveRun && !x.route.Kind.Repeatable():
+	case x.mayHaveRun && !x.route.Kind.Retryable():
 		return "may have run"
 	case x.streamedBody != nil:
 		return "body sent"
@@ -91,7 +91,7 @@
 		DialTimeout: min(dialTimeout, max(x.expiresAt-now, 1)),
 		Check:       func() bool { return x.maySendNow(u) },
 	}
-	if !x.route.Kind.Repeatable() {
+	if !x.route.Kind.Retryable() {
 		q.Young = maxIdleForOnce
 	}
 	return q
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -209,13 +209,13 @@
 func serviceOf(r *http.Request, s *steerer.Snapshot) (resolver.ServiceName, bool) {
 	if h := r.Header.Get(HeaderService); h != "" {
 		n := resolver.ServiceName(h)
-		return n, s.Settings.Knows(n)
+		return n, s.Settings.HasService(n)
 	}
 	host, _, err := net.SplitHostPort(r.Host)
 	if err != nil {
 		host = r.Host
 	}
-	return s.Settings.ByHost(host)
+	return s.Settings.ServiceByHost(host)
 }
 
 func blockOf(r *http.Request, s *steerer.Snapshot) (locator.Block, error) {
--- a/internal/request/limiter/fleet_test.go
+++ b/internal/request/limiter/fleet_test.go
@@ -150,7 +150,7 @@
 		panic(err)
 	}
 	for i, o := range list {
-		list[i] = d.Known(hasher.OfString(string(o.Name)))
+		list[i] = d.ByHash(hasher.OfString(string(o.Name)))
 	}
 	return list
 }
--- a/internal/request/looker/looker.go
+++ b/internal/request/looker/looker.go
@@ -42,7 +42,7 @@
 		l.writeError(w, http.StatusBadRequest, ErrorBody{"Service", "is missing"})
 		return
 	}
-	if !s.Settings.Knows(service) {
+	if !s.Settings.HasService(service) {
 		l.writeError(w, http.StatusNotFound, ErrorBody{"Service", fmt.Sprintf("no service %q in the settings", service)})
 		return
 	}
@@ -51,7 +51,7 @@
 		l.writeError(w, http.StatusBadRequest, ErrorBody{"Block", err.Error()})
 		return
 	}
-	response := s.Answer(service, s.Find(block))
+	response := s.Response(service, s.Find(block))
 	if response == nil {
 		l.writeError(w, http.StatusServiceUnavailable, ErrorBody{"Service", fmt.Sprintf("no entry serves %s now", service)})
 		return
--- a/internal/request/placer/place_test.go
+++ b/internal/request/placer/place_test.go
@@ -19,7 +19,7 @@
 		site := registrar.Site(fmt.Sprintf("region%d/domain%d", i%3, i%6))
 		c.Put(cataloger.Upstream{ID: cataloger.UpstreamID(fmt.Sprint("u", i)), Service: "s", Site: site, Slots: 6})
 	}
-	return c.Current().Of("s")
+	return c.Current().ByService("s")
 }
 
 func anyRegion(string) bool { return true }
--- a/internal/version/authenticator/credential.go
+++ b/internal/version/authenticator/credential.go
@@ -13,8 +13,8 @@
 
 // Results of reading the credential of a request.
 const (
-	// Sound means that the credential is well-formed and may be an API key.
-	Sound CredentialStatus = ""
+	// Valid means that the credential is well-formed and may be an API key.
+	Valid CredentialStatus = ""
 	// Missing means that there is no credential or an empty one.
 	Missing CredentialStatus = "no key"
 	// Repeated means that there is more than one credential. Such a request is
@@ -66,7 +66,7 @@
 	case !wellFormed(values[0]):
 		return "", Malformed
 	}
-	return values[0], Sound
+	return values[0], Valid
 }
 
 // wellFormed reports whether credential has the form of an API key: printable ASCII
--- a/internal/version/authenticator/directory.go
+++ b/internal/version/authenticator/directory.go
@@ -95,8 +95,8 @@
 	return d.holders[DigestOf(key)]
 }
 
-// Known returns the organisation whose name has the hash h, or nil if there is none.
-func (d *Directory) Known(h hasher.Hash) *Organisation {
+// ByHash returns the organisation whose name has the hash h, or nil if there is none.
+func (d *Directory) ByHash(h hasher.Hash) *Organisation {
 	if d == nil {
 		return nil
 	}
@@ -136,9 +136,9 @@
 	return o == nil || len(o.Regions) == 0 || slices.Contains(o.Regions, region)
 }
 
-// Bound returns a hash of the regions of the organisation, or 0 if its requests may run
+// RegionsHash returns a hash of the regions of the organisation, or 0 if its requests may run
 // in any region. Organisations with the same regions have the same hash.
-func (o *Organisation) Bound() hasher.Hash {
+func (o *Organisation) RegionsHash() hasher.Hash {
 	if o == nil {
 		return 0
 	}
--- a/internal/version/authenticator/directory_test.go
+++ b/internal/version/authenticator/directory_test.go
@@ -30,7 +30,7 @@
 	is.Equal(d.Holder("k3").Name, authenticator.Name("b"))
 	is.Equal(d.Holder("k4"), nil)
 	is.Equal(d.Holder(""), nil)
-	is.Equal(d.Known(hasher.OfString("b")).Name, authenticator.Name("b"))
+	is.Equal(d.ByHash(hasher.OfString("b")).Name, authenticator.Name("b"))
 	is.Equal(len(d.All()), 2)
 }
 
@@ -40,7 +40,7 @@
 		values []string
 		want   authenticator.CredentialStatus
 	}{
-		{"one", []string{"abc"}, authenticator.Sound},
+		{"one", []string{"abc"}, authenticator.Valid},
 		{"none", nil, authenticator.Missing},
 		{"empty", []string{""}, authenticator.Missing},
 		{"two", []string{"abc", "def"}, authenticator.Repeated},
@@ -100,11 +100,11 @@
 	is.NoErr(err)
 	a, b, c := d.All()[0], d.All()[1], d.All()[2]
 	is.True(a.Allows("x") && !a.Allows("z") && c.Allows("z"))
-	is.Equal(a.Bound(), b.Bound())
-	is.True(a.Bound() != c.Bound())
+	is.Equal(a.RegionsHash(), b.RegionsHash())
+	is.True(a.RegionsHash() != c.RegionsHash())
 	var nobody *authenticator.Organisation
 	is.True(nobody.Allows("z"))
-	is.Equal(nobody.Bound(), hasher.Hash(0))
+	is.Equal(nobody.RegionsHash(), hasher.Hash(0))
 }
 
 func TestDigest(t *testing.T) {
@@ -122,7 +122,7 @@
 	d, values := many(t, 100), []string{"key-50-5"}
 	n := testing.AllocsPerRun(100, func() {
 		key, status := authenticator.Credential(values)
-		if status != authenticator.Sound || d.Holder(key) == nil {
+		if status != authenticator.Valid || d.Holder(key) == nil {
 			t.Error("not found")
 		}
 	})
--- a/internal/version/cataloger/catalog.go
+++ b/internal/version/cataloger/catalog.go
@@ -107,9 +107,9 @@
 	return &empty
 }
 
-// Of returns the upstreams of a service that accept new requests. The caller must not
+// ByService returns the upstreams of a service that accept new requests. The caller must not
 // modify the slice.
-func (s *Snapshot) Of(name resolver.ServiceName) []*Upstream {
+func (s *Snapshot) ByService(name resolver.ServiceName) []*Upstream {
 	return s.services[name]
 }
 
--- a/internal/version/cataloger/catalog_test.go
+++ b/internal/version/cataloger/catalog_test.go
@@ -21,7 +21,7 @@
 	for i := range 3 {
 		c.Put(upstream(i))
 	}
-	is.Equal(len(c.Current().Of("s")), 3)
+	is.Equal(len(c.Current().ByService("s")), 3)
 	u := upstream(1)
 	u.Leaving = true
 	c.Put(u)
@@ -29,12 +29,12 @@
 	is.True(c.Current().Usable(cataloger.Incarnation{ID: "u0"}) != nil)
 	before := c.Current()
 	c.Evacuate("a")
-	is.Equal(len(c.Current().Of("s")), 0)
-	is.Equal(len(before.Of("s")), 2) // snapshots are immutable
+	is.Equal(len(c.Current().ByService("s")), 0)
+	is.Equal(len(before.ByService("s")), 2) // snapshots are immutable
 	c.Readmit("a", func(resolver.ServiceName) timekeeper.Millis { return 500 })
-	is.Equal(len(c.Current().Of("s")), 2)
-	is.True(c.Current().Of("s")[0].Cold(499))
-	is.True(!c.Current().Of("s")[0].Cold(500))
+	is.Equal(len(c.Current().ByService("s")), 2)
+	is.True(c.Current().ByService("s")[0].Cold(499))
+	is.True(!c.Current().ByService("s")[0].Cold(500))
 }
 
 func TestBatchIsOneSnapshot(t *testing.T) {
@@ -47,14 +47,14 @@
 			c.Put(upstream(i))
 		}
 		c.Remove("u7")
-		is.Equal(len(c.Current().Of("s")), 1)
+		is.Equal(len(c.Current().ByService("s")), 1)
 	})
 	is.Equal(c.Current().Change, first+1)
-	is.Equal(len(c.Current().Of("s")), 99)
+	is.Equal(len(c.Current().ByService("s")), 99)
 	c.Batch(func() {})
 	is.Equal(c.Current().Change, first+1)
 	c.Remove("u8")
-	is.Equal(len(c.Current().Of("s")), 98)
+	is.Equal(len(c.Current().ByService("s")), 98)
 }
 
 // incarnation returns an upstream with the given start time; the address distinguishes
@@ -72,21 +72,21 @@
 	var c cataloger.Catalog
 	first, second := incarnation(100, "a:1"), incarnation(200, "a:2")
 	is.True(c.Put(first))
-	old := c.Current().Of("s")[0]
+	old := c.Current().ByService("s")[0]
 	is.True(c.Put(second))
-	is.True(c.Current().Of("s")[0].Hash() != old.Hash()) // a new incarnation remembers no keys
+	is.True(c.Current().ByService("s")[0].Hash() != old.Hash()) // a new incarnation remembers no keys
 	is.True(c.Current().Usable(old.Incarnation()) == nil)
 	is.True(!c.Put(first)) // delayed report
-	is.Equal(c.Current().Of("s")[0].Address, "a:2")
+	is.Equal(c.Current().ByService("s")[0].Address, "a:2")
 	c.Replace([]cataloger.Upstream{first, upstream(2)})
-	is.Equal(len(c.Current().Of("s")), 2)
+	is.Equal(len(c.Current().ByService("s")), 2)
 	is.True(c.Current().Usable(second.Incarnation()) != nil)
 	is.True(!c.Put(incarnation(0, "a:0"))) // no start time, although one was reported before
 	c.Remove("u1")
 	is.True(!c.Put(first))
-	is.Equal(len(c.Current().Of("s")), 1)
+	is.Equal(len(c.Current().ByService("s")), 1)
 	is.True(c.Put(second)) // its entry expired and was renewed
-	is.Equal(len(c.Current().Of("s")), 2)
+	is.Equal(len(c.Current().ByService("s")), 2)
 }
 
 func TestLivesAreBounded(t *testing.T) {
--- a/internal/version/loader/load.go
+++ b/internal/version/loader/load.go
@@ -126,7 +126,7 @@
 	for _, p := range splitJoined(err) {
 		b.report(parser.Position{File: b.file}, "", p.Error())
 	}
-	c.Admit(d)
+	c.SetOrganisations(d)
 }
 
 // routedServices returns the services to which routes refer.
--- a/internal/version/loader/organisations_test.go
+++ b/internal/version/loader/organisations_test.go
@@ -37,7 +37,7 @@
 	is.Equal(o.Rank, authenticator.Rank(1))
 	is.Equal(o.Limit, authenticator.Limit{PerSecond: 12.5, Burst: 30})
 	is.True(o.Allows("erie") && !o.Allows("michigan"))
-	is.Equal(x.Config.Leading(), authenticator.Rank(1))
+	is.Equal(x.Config.MostUrgentOrganisationRank(), authenticator.Rank(1))
 
 	x, problems = loader.Read("t.toml", []byte(table))
 	is.NoErr(problems.OrNil())
--- a/internal/version/matcher/config.go
+++ b/internal/version/matcher/config.go
@@ -145,19 +145,19 @@
 	return nil
 }
 
-// Urgent returns the most urgent rank of the routes to a service.
-func (c *Config) Urgent(s resolver.ServiceName) Rank {
+// MostUrgentRank returns the most urgent rank of the routes to a service.
+func (c *Config) MostUrgentRank(s resolver.ServiceName) Rank {
 	return c.mostUrgent[s]
 }
 
-// Leading returns the most urgent rank of any organisation.
-func (c *Config) Leading() authenticator.Rank {
+// MostUrgentOrganisationRank returns the most urgent rank of any organisation.
+func (c *Config) MostUrgentOrganisationRank() authenticator.Rank {
 	return c.mostUrgentOrganisation
 }
 
-// Admit sets the organisations of the configuration. If d is not nil, requests must
+// SetOrganisations sets the organisations of the configuration. If d is not nil, requests must
 // carry the credential of one of them.
-func (c *Config) Admit(d *authenticator.Directory) {
+func (c *Config) SetOrganisations(d *authenticator.Directory) {
 	c.Organisations = d
 	for i, o := range d.All() {
 		if i == 0 || o.Rank < c.mostUrgentOrganisation {
@@ -175,8 +175,8 @@
 	return n
 }
 
-// Repeatable reports whether a request may be retried.
-func (k Kind) Repeatable() bool {
+// Retryable reports whether a request may be retried.
+func (k Kind) Retryable() bool {
 	return k == Idempotent || k == Download
 }
 
--- a/internal/version/matcher/config_test.go
+++ b/internal/version/matcher/config_test.go
@@ -71,7 +71,7 @@
 	first.Rank, second.Rank = 2, 1
 	c, err := matcher.New(1, matcher.Limits{}, []matcher.Route{first, second}, []matcher.Service{{Name: "s"}})
 	is.NoErr(err)
-	is.Equal(c.Urgent("s"), matcher.Rank(1))
+	is.Equal(c.MostUrgentRank("s"), matcher.Rank(1))
 }
 
 func TestAllProblemsAtOnce(t *testing.T) {
--- a/internal/version/replicator/replica.go
+++ b/internal/version/replicator/replica.go
@@ -82,8 +82,8 @@
 	return o, ok
 }
 
-// Under returns the objects whose names begin with prefix, sorted by name.
-func (r *Replica) Under(prefix string) []storer.Object {
+// WithPrefix returns the objects whose names begin with prefix, sorted by name.
+func (r *Replica) WithPrefix(prefix string) []storer.Object {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	var out []storer.Object
--- a/internal/version/resolver/resolved.go
+++ b/internal/version/resolver/resolved.go
@@ -200,15 +200,15 @@
 	return r.bySite[site][name]
 }
 
-// Knows reports whether the tree contains the service.
-func (r *Resolved) Knows(name ServiceName) bool {
+// HasService reports whether the tree contains the service.
+func (r *Resolved) HasService(name ServiceName) bool {
 	_, ok := slices.BinarySearch(r.Services, name)
 	return ok
 }
 
-// ByHost returns the service that a Host header value selects, and whether there is
+// ServiceByHost returns the service that a Host header value selects, and whether there is
 // one.
-func (r *Resolved) ByHost(host string) (ServiceName, bool) {
+func (r *Resolved) ServiceByHost(host string) (ServiceName, bool) {
 	n, ok := r.hosts[host]
 	return n, ok
 }
--- a/internal/version/resolver/tree.go
+++ b/internal/version/resolver/tree.go
@@ -225,9 +225,9 @@
 	return out
 }
 
-// Clash reports whether two changes conflict: whether they edit settings of the same
+// Conflict reports whether two changes conflict: whether they edit settings of the same
 // group at paths of which one covers the other.
-func Clash(a, b []Edit) bool {
+func Conflict(a, b []Edit) bool {
 	for _, x := range a {
 		for _, y := range b {
 			if conflictGroup(x.Key) == conflictGroup(y.Key) && pathsOverlap(x.Path, y.Path) {
--- a/internal/version/steerer/lookup_test.go
+++ b/internal/version/steerer/lookup_test.go
@@ -82,15 +82,15 @@
 	firsts := map[string]bool{}
 	for i := range 1000 {
 		b := s.Find(blockAddress(i))
-		var response steerer.Answer
-		is.NoErr(json.Unmarshal(s.Answer("keg-ledger", b), &response))
+		var response steerer.Response
+		is.NoErr(json.Unmarshal(s.Response("keg-ledger", b), &response))
 		is.Equal(response.Site, s.Site("keg-ledger", b))
 		is.Equal(response.Site.Region(), b.Origin.Region()) // requests stay in the region of the caller
 		is.Equal(len(response.Entries), 3)
 		firsts[response.Entries[0].Address] = true
 	}
 	is.Equal(len(firsts), 12) // every entry comes first for some block
-	is.Equal(s.Answer("other", locator.Block{}), nil)
+	is.Equal(s.Response("other", locator.Block{}), nil)
 }
 
 // TestEveryOriginHasARoute covers origins in failure domains and regions that have no
@@ -101,7 +101,7 @@
 	for origin, region := range map[registrar.Site]string{"r1/other": "r1", "r0/d1": "r0", "elsewhere/x": "r"} {
 		b := locator.Block{Origin: origin, Hash: 7}
 		is.True(strings.HasPrefix(string(s.Site("keg-ledger", b)), region))
-		is.True(s.Answer("keg-ledger", b) != nil)
+		is.True(s.Response("keg-ledger", b) != nil)
 	}
 }
 
@@ -109,7 +109,7 @@
 	is := is.New(t)
 	s := snapshot(t, 3, 2, 2, 1000)
 	a := netip.MustParseAddr("10.1.2.3")
-	is.Equal(testing.AllocsPerRun(1000, func() { s.Answer("keg-ledger", s.Find(a)) }), 0.0)
+	is.Equal(testing.AllocsPerRun(1000, func() { s.Response("keg-ledger", s.Find(a)) }), 0.0)
 }
 
 // BenchmarkLookup measures lookups for growing tables of client blocks, with 3 regions
@@ -130,7 +130,7 @@
 					i++
 					var a [4]byte
 					binary.BigEndian.PutUint32(a[:], i*2654435761)
-					s.Answer("keg-ledger", s.Find(netip.AddrFrom4(a)))
+					s.Response("keg-ledger", s.Find(netip.AddrFrom4(a)))
 				}
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/(1<<20), "MB")
 			})
--- a/internal/version/steerer/snapshot.go
+++ b/internal/version/steerer/snapshot.go
@@ -46,8 +46,8 @@
 		responses map[responseKey][][]byte
 	}
 
-	// Answer is the response to a lookup.
-	Answer struct {
+	// Response is the response to a lookup.
+	Response struct {
 		Service resolver.ServiceName
 		Site    registrar.Site
 		// Entries are the daemons to contact, in order of preference.
@@ -182,7 +182,7 @@
 }
 
 func (s *Snapshot) encodeResponse(set *resolver.Service, members []registrar.Member, first int, fallback []Entry) ([]byte, error) {
-	a := Answer{
+	a := Response{
 		Service:        set.Name,
 		Site:           set.Site,
 		LifetimeMillis: set.LookupLifetime,
@@ -245,9 +245,9 @@
 	return r.sites[i]
 }
 
-// Answer returns the encoded response to a lookup, or nil if there is no entry. It does
+// Response returns the encoded response to a lookup, or nil if there is no entry. It does
 // not allocate; the caller must not modify the result.
-func (s *Snapshot) Answer(service resolver.ServiceName, b locator.Block) []byte {
+func (s *Snapshot) Response(service resolver.ServiceName, b locator.Block) []byte {
 	r := s.route(service, b.Origin)
 	if r == nil {
 		return nil
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -34,7 +34,7 @@
 	lookup, err := http.Get("http://" + d.callers + "/Lookup?Service=keg-ledger&Block=10.1.2.0/24")
 	is.NoErr(err)
 	defer lookup.Body.Close()
-	var answer steerer.Answer
+	var answer steerer.Response
 	is.NoErr(json.NewDecoder(lookup.Body).Decode(&answer))
 	is.Equal(answer.Entries[0].Address, d.callers)
 	is.Equal(string(answer.Site), "erie/a")
