--- a/internal/process/claimer/claimer.go
+++ b/internal/process/claimer/claimer.go
@@ -171,8 +171,8 @@
 	return func() { c.Links.Peer(ctx, m).Send(framer.KindClaim, msg) }
 }
 
-// Asked handles the claim of another daemon and returns the response.
-func (c *Claimer) Asked(m *framer.Claim) *framer.Released {
+// HandleClaim handles the claim of another daemon and returns the response.
+func (c *Claimer) HandleClaim(m *framer.Claim) *framer.Released {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	out := &framer.Released{Sequence: m.Sequence}
@@ -196,8 +196,8 @@
 	return c.Owner.Release(u)
 }
 
-// Answered handles the response to a claim.
-func (c *Claimer) Answered(m *framer.Released) {
+// HandleReleased handles the response to a claim.
+func (c *Claimer) HandleReleased(m *framer.Released) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	q, ok := c.outstanding[m.Sequence]
--- a/internal/process/claimer/claimer_test.go
+++ b/internal/process/claimer/claimer_test.go
@@ -63,12 +63,12 @@
 	case framer.KindClaim:
 		var m framer.Claim
 		if f.Decode(&m) == nil {
-			_ = s.Send(framer.KindReleased, x.claimer.Asked(&m))
+			_ = s.Send(framer.KindReleased, x.claimer.HandleClaim(&m))
 		}
 	case framer.KindReleased:
 		var m framer.Released
 		if f.Decode(&m) == nil {
-			x.claimer.Answered(&m)
+			x.claimer.HandleReleased(&m)
 		}
 	}
 }
--- a/internal/process/heartbeater/heartbeater.go
+++ b/internal/process/heartbeater/heartbeater.go
@@ -93,30 +93,30 @@
 		Omitted bool
 	}
 
-	// Beater sends and receives heartbeats. Self, Send and Seeds must be set before
+	// Heartbeater sends and receives heartbeats. Self, Send and Seeds must be set before
 	// use.
-	Beater struct {
+	Heartbeater struct {
 		// Self returns the current description of this member.
 		Self func() Member
 		// Seeds are datagram addresses of members whose names need not be known.
 		Seeds []string
 		Send  func(address string, datagram []byte)
-		// Marks returns the watermark of each kind: the revision up to which its
+		// Watermarks returns the watermark of each kind: the revision up to which its
 		// changes are known here. May be nil.
-		Marks func() map[string]uint64
-		// Stale returns the time since the store last responded to a watch. Nil means
+		Watermarks func() map[string]uint64
+		// StoreAge returns the time since the store last responded to a watch. Nil means
 		// that it is always zero.
-		Stale func() timekeeper.Millis
-		// Marked is called with each watermark of the leader, Relayed with the changes
+		StoreAge func() timekeeper.Millis
+		// OnWatermark is called with each watermark of the leader, Relayed with the changes
 		// it relays. Both may be nil.
-		Marked  func(kind string, revision uint64)
-		Relayed func(Changes)
-		// Missed returns the known changes of a kind after a revision, in order and
+		OnWatermark func(kind string, revision uint64)
+		OnChanges   func(Changes)
+		// ChangesAfter returns the known changes of a kind after a revision, in order and
 		// without a gap, or none if some of them are unknown. May be nil.
-		Missed func(kind string, from uint64) []Changes
-		// Homed is called with the homes of keys that another member announced. May be
+		ChangesAfter func(kind string, from uint64) []Changes
+		// OnHomes is called with the homes of keys that another member announced. May be
 		// nil.
-		Homed func([]assigner.Assignment)
+		OnHomes func([]assigner.Assignment)
 		// Ended is called with each incarnation of an upstream that another member
 		// announced as terminated. May be nil.
 		Ended func(cataloger.Incarnation)
@@ -124,13 +124,13 @@
 		// share. Nil disables sharing. Suspected is called with the changes learned from
 		// other members; it may be nil.
 		Quarantine *quarantiner.Quarantiner
-		Suspected  func([]quarantiner.Change)
-		// Limited is called with each message about limits and its sender's address. May
+		OnSuspects func([]quarantiner.Change)
+		// OnLimitMessage is called with each message about limits and its sender's address. May
 		// be nil.
-		Limited func(from string, m limiter.Message)
-		// Counted is called with the size of each datagram sent or received. May be nil.
-		Counted func(Traffic)
-		Clock   timekeeper.Clock
+		OnLimitMessage func(from string, m limiter.Message)
+		// OnTraffic is called with the size of each datagram sent or received. May be nil.
+		OnTraffic func(Traffic)
+		Clock     timekeeper.Clock
 
 		lock    sync.Mutex
 		members map[string]*knownMember
@@ -160,9 +160,9 @@
 	}
 )
 
-// Learn adds a member known from another source. It is not considered alive until it
+// AddMember adds a member known from another source. It is not considered alive until it
 // is heard from.
-func (b *Beater) Learn(m Member) {
+func (b *Heartbeater) AddMember(m Member) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if m.Name == b.self.Name || b.members[m.Name] != nil {
@@ -172,7 +172,7 @@
 }
 
 // Alive returns the living members, including this one, sorted by name.
-func (b *Beater) Alive() []Member {
+func (b *Heartbeater) Alive() []Member {
 	now := b.Clock.Now()
 	self := b.Self()
 	b.lock.Lock()
@@ -188,14 +188,14 @@
 }
 
 // Run sends heartbeats until ctx is done.
-func (b *Beater) Run(ctx context.Context) {
+func (b *Heartbeater) Run(ctx context.Context) {
 	b.Beat(false)
 	timekeeper.Every(ctx, heartbeatInterval, func() { b.Beat(false) })
 }
 
 // Beat sends one round of heartbeats. If all is set, it goes to every member of the
 // region, for changes that must be known at once.
-func (b *Beater) Beat(all bool) {
+func (b *Heartbeater) Beat(all bool) {
 	self := b.Self()
 	watermarks := b.watermarks()
 	b.lock.Lock()
@@ -225,7 +225,7 @@
 
 // Receive handles a datagram from an address and reports whether it could be decoded.
 // Other datagrams are dropped: they may come from another version.
-func (b *Beater) Receive(from string, datagram []byte) bool {
+func (b *Heartbeater) Receive(from string, datagram []byte) bool {
 	var d Datagram
 	understood := proto.Unmarshal(datagram, &d) == nil
 	defer b.count(from, Traffic{Purpose: d.purpose(), Received: int64(len(datagram))})
@@ -239,8 +239,8 @@
 	if d.Ask != nil {
 		b.handleAsk(d.Ask)
 	}
-	if h := d.Homes; h != nil && b.Homed != nil {
-		b.Homed(assignments(h))
+	if h := d.Homes; h != nil && b.OnHomes != nil {
+		b.OnHomes(assignments(h))
 	}
 	if d.Ended != nil {
 		b.handleEnded(d.Ended)
@@ -248,32 +248,32 @@
 	if d.Suspects != nil {
 		b.handleSuspects(d.Suspects)
 	}
-	if d.Tokens != nil && b.Limited != nil {
-		b.Limited(from, limitMessage(d.Tokens))
+	if d.Tokens != nil && b.OnLimitMessage != nil {
+		b.OnLimitMessage(from, limitMessage(d.Tokens))
 	}
-	if r := d.Relay; r != nil && b.Relayed != nil {
-		b.Relayed(Changes{Kind: r.Kind, From: r.From, To: r.To, Body: r.Changes, Omitted: r.Omitted})
+	if r := d.Relay; r != nil && b.OnChanges != nil {
+		b.OnChanges(Changes{Kind: r.Kind, From: r.From, To: r.To, Body: r.Changes, Omitted: r.Omitted})
 	}
 	return true
 }
 
 // newBeat returns this member's heartbeat to its region, without rows of other members. The
 // caller must hold the lock.
-func (b *Beater) newBeat(self Member, watermarks []*Mark) *Beat {
+func (b *Heartbeater) newBeat(self Member, watermarks []*Mark) *Beat {
 	m := &Beat{From: row(self, 0), Following: b.following(self)}
 	if k := b.leader(self); k != nil {
 		m.Lead, m.Digest = k.Name, b.digest(false)
 		return m
 	}
 	m.Lead, m.Leading, m.Digest, m.Marks = self.Name, true, b.digest(true), watermarks
-	if b.Stale != nil {
-		m.StaleMillis = uint32(min(b.Stale(), maxReportedStoreAge))
+	if b.StoreAge != nil {
+		m.StaleMillis = uint32(min(b.StoreAge(), maxReportedStoreAge))
 	}
 	return m
 }
 
 // handleBeat handles a heartbeat and sends a reply if one is needed.
-func (b *Beater) handleBeat(m *Beat) {
+func (b *Heartbeater) handleBeat(m *Beat) {
 	self := b.Self()
 	watermarks := b.watermarks()
 	b.lock.Lock()
@@ -303,16 +303,16 @@
 	if reply != nil {
 		b.send([]string{to}, &Datagram{Beat: reply})
 	}
-	if near && m.Leading && b.Marked != nil {
+	if near && m.Leading && b.OnWatermark != nil {
 		for _, r := range m.Marks {
-			b.Marked(r.Kind, r.Revision)
+			b.OnWatermark(r.Kind, r.Revision)
 		}
 	}
 }
 
 // recordBeat records the contents of a heartbeat and returns its sender, or nil if the sender is
 // this member or has no name. The caller must hold the lock.
-func (b *Beater) recordBeat(m *Beat) *knownMember {
+func (b *Heartbeater) recordBeat(m *Beat) *knownMember {
 	now := b.Clock.Now()
 	k := b.recordRow(m.From, now)
 	if k == nil {
@@ -335,7 +335,7 @@
 // introduction returns a reply that names the best known member in the region of the sender k,
 // which hears no leader there, or nil if k itself is the best. Without it, members whose seeds
 // are all in other regions would not find each other. The caller must hold the lock.
-func (b *Beater) introduction(k *knownMember) *Beat {
+func (b *Heartbeater) introduction(k *knownMember) *Beat {
 	best := b.best(k.Site.Region())
 	if best == nil || best == k {
 		return nil
@@ -346,7 +346,7 @@
 
 // replyTo returns the reply to a heartbeat from a member of the region, or nil if none is
 // needed. The caller must hold the lock.
-func (b *Beater) replyTo(m *Beat, k *knownMember, watermarks []*Mark) *Beat {
+func (b *Heartbeater) replyTo(m *Beat, k *knownMember, watermarks []*Mark) *Beat {
 	if betterLeader := b.betterLeader(m, k, b.self); betterLeader != nil {
 		return &Beat{From: row(b.self, 0), Rows: []*Row{betterLeader}, Reply: true}
 	}
--- a/internal/process/heartbeater/heartbeater_test.go
+++ b/internal/process/heartbeater/heartbeater_test.go
@@ -27,7 +27,7 @@
 	}
 
 	member struct {
-		*heartbeater.Beater
+		*heartbeater.Heartbeater
 		self    heartbeater.Member
 		dead    bool
 		relayed []heartbeater.Changes
@@ -42,11 +42,11 @@
 // add adds a member with the given seeds.
 func (n *network) add(name string, site registrar.Site, knows ...string) *member {
 	m := &member{self: heartbeater.Member{Name: name, Site: site, Front: "front-" + name, Beats: name, Ready: true, Reaching: true}}
-	m.Beater = &heartbeater.Beater{
-		Self:    func() heartbeater.Member { return m.self },
-		Seeds:   knows,
-		Clock:   timekeeper.Clock{Monotonic: func() timekeeper.Millis { return n.now }},
-		Relayed: func(c heartbeater.Changes) { m.relayed = append(m.relayed, c) },
+	m.Heartbeater = &heartbeater.Heartbeater{
+		Self:      func() heartbeater.Member { return m.self },
+		Seeds:     knows,
+		Clock:     timekeeper.Clock{Monotonic: func() timekeeper.Millis { return n.now }},
+		OnChanges: func(c heartbeater.Changes) { m.relayed = append(m.relayed, c) },
 		Send: func(to string, d []byte) {
 			r := n.members[to]
 			if m.dead || r == nil || r.dead || n.random.Float64() < n.loss {
@@ -81,7 +81,7 @@
 func (n *network) leaders(region string) (names []string) {
 	for _, name := range n.names() {
 		m := n.members[name]
-		if !m.dead && m.self.Site.Region() == region && m.Leads() {
+		if !m.dead && m.self.Site.Region() == region && m.IsLeader() {
 			names = append(names, name)
 		}
 	}
@@ -108,7 +108,7 @@
 	}
 	for _, m := range n.members {
 		is.Equal(len(m.Alive()), 40)
-		is.True(m.Leads() || m.Led())
+		is.True(m.IsLeader() || m.FollowsLeader())
 	}
 }
 
@@ -154,10 +154,10 @@
 	n.rounds(12)
 	lead := n.members[n.leaders("east")[0]]
 	stale := timekeeper.Millis(0)
-	lead.Stale = func() timekeeper.Millis { return stale }
+	lead.StoreAge = func() timekeeper.Millis { return stale }
 	led := func() (count int) {
 		for _, m := range n.members {
-			if m.self.Site.Region() == "east" && m.Led() {
+			if m.self.Site.Region() == "east" && m.FollowsLeader() {
 				count++
 			}
 		}
@@ -196,7 +196,7 @@
 	addFleet(n, 12)
 	n.rounds(12)
 	lead := n.members[n.leaders("east")[0]]
-	lead.Missed = func(kind string, from uint64) []heartbeater.Changes {
+	lead.ChangesAfter = func(kind string, from uint64) []heartbeater.Changes {
 		return []heartbeater.Changes{{Kind: kind, From: from, To: from + 1}, {Kind: kind, From: from + 1, To: from + 4}}
 	}
 	is.True(!lead.Ask("k", 3)) // the leader has no other to ask
--- a/internal/process/heartbeater/leader.go
+++ b/internal/process/heartbeater/leader.go
@@ -5,17 +5,17 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// Leads reports whether this member considers itself the leader of its region.
-func (b *Beater) Leads() bool {
+// IsLeader reports whether this member considers itself the leader of its region.
+func (b *Heartbeater) IsLeader() bool {
 	self := b.Self()
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.leader(self) == nil
 }
 
-// Lead returns the name of the member, possibly this one, that this one considers the leader
+// Leader returns the name of the member, possibly this one, that this one considers the leader
 // of its region, and whether that member recently sent a heartbeat as the leader.
-func (b *Beater) Lead() (name string, heard bool) {
+func (b *Heartbeater) Leader() (name string, heard bool) {
 	self := b.Self()
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -25,9 +25,9 @@
 	return self.Name, true
 }
 
-// Led reports whether another member leads the region, recently sent a heartbeat as the
+// FollowsLeader reports whether another member leads the region, recently sent a heartbeat as the
 // leader, and is up to date with the store.
-func (b *Beater) Led() bool {
+func (b *Heartbeater) FollowsLeader() bool {
 	self := b.Self()
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -35,9 +35,9 @@
 	return k != nil && k.Reaching && b.following(self) && b.Clock.Now()-k.storeResponded < maxStoreAge
 }
 
-// Fresh returns the time since the store last responded to the leader that this member
+// LeaderStoreAge returns the time since the store last responded to the leader that this member
 // follows. The result is false if it follows none.
-func (b *Beater) Fresh() (timekeeper.Millis, bool) {
+func (b *Heartbeater) LeaderStoreAge() (timekeeper.Millis, bool) {
 	self := b.Self()
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -49,7 +49,7 @@
 
 // following reports whether another member leads and recently sent a heartbeat as the
 // leader. The caller must hold the lock.
-func (b *Beater) following(self Member) bool {
+func (b *Heartbeater) following(self Member) bool {
 	k := b.leader(self)
 	return k != nil && b.Clock.Now()-k.lastLeading < leaderTimeout
 }
@@ -57,7 +57,7 @@
 // betterLeader returns the leader of the region if the sender k of a heartbeat follows no leader or
 // another one, and nil if this member knows no better leader. In this way a former leader
 // redirects members that still follow it. The caller must hold the lock.
-func (b *Beater) betterLeader(m *Beat, k *knownMember, self Member) *Row {
+func (b *Heartbeater) betterLeader(m *Beat, k *knownMember, self Member) *Row {
 	now := b.Clock.Now()
 	leader := b.leader(self)
 	if leader == nil || leader == k || now-leader.lastLeading > leaderTimeout {
@@ -72,7 +72,7 @@
 // leader returns the leader of the region of self, or nil if it is self. Members that don't
 // reach the store come last in the order, and leaving ones come after those that stay. The
 // caller must hold the lock.
-func (b *Beater) leader(self Member) *knownMember {
+func (b *Heartbeater) leader(self Member) *knownMember {
 	best := b.best(self.Site.Region())
 	if best != nil && precedes(best.Member, best.nameHash, self, hasher.OfString(self.Name)) {
 		return best
@@ -82,7 +82,7 @@
 
 // best returns the first other member of a region in the leader order, or nil if none is
 // known to be alive within leaderTimeout. The caller must hold the lock.
-func (b *Beater) best(region string) *knownMember {
+func (b *Heartbeater) best(region string) *knownMember {
 	now := b.Clock.Now()
 	var best *knownMember
 	for _, k := range b.members {
--- a/internal/process/heartbeater/limits.go
+++ b/internal/process/heartbeater/limits.go
@@ -12,11 +12,11 @@
 type census limiter.FleetView
 
 // Census returns what this member knows of the members that share limits with it.
-func (b *Beater) Census() limiter.FleetView {
+func (b *Heartbeater) Census() limiter.FleetView {
 	return limiter.FleetView(b.census())
 }
 
-func (b *Beater) census() census {
+func (b *Heartbeater) census() census {
 	self := b.Self()
 	now := b.Clock.Now()
 	b.lock.Lock()
@@ -71,7 +71,7 @@
 }
 
 // SendLimit sends a message about limits.
-func (b *Beater) SendLimit(e limiter.Envelope) {
+func (b *Heartbeater) SendLimit(e limiter.Envelope) {
 	b.send([]string{e.To}, &Datagram{Tokens: &Tokens{
 		Kind: uint32(e.Kind), Organisation: uint64(e.Organisation), Number: e.Number, Count: e.Tokens, Need: e.Need,
 		AfterMillis: uint32(e.After), GapMillis: uint32(e.Gap),
--- a/internal/process/heartbeater/member.go
+++ b/internal/process/heartbeater/member.go
@@ -14,7 +14,7 @@
 // expireUnheard marks all members as dead that sent no heartbeat to this one within
 // MemberTimeout. It is called before a full table of living members is recorded. The caller
 // must hold the lock.
-func (b *Beater) expireUnheard(now timekeeper.Millis) {
+func (b *Heartbeater) expireUnheard(now timekeeper.Millis) {
 	for _, k := range b.members {
 		if now-k.lastHeartbeat >= MemberTimeout || k.lastHeartbeat == 0 {
 			k.lastAlive = min(k.lastAlive, now-MemberTimeout)
@@ -25,7 +25,7 @@
 
 // confirmLiveness records the leader's liveness confirmation for all members that this one
 // considers alive. The caller must hold the lock.
-func (b *Beater) confirmLiveness(now timekeeper.Millis) {
+func (b *Heartbeater) confirmLiveness(now timekeeper.Millis) {
 	for _, k := range b.members {
 		if k.isAlive(now) {
 			k.confirmed = now
@@ -35,7 +35,7 @@
 
 // digest returns a digest of the living members and their states. A leader ignores liveness
 // confirmations. The caller must hold the lock.
-func (b *Beater) digest(leading bool) uint64 {
+func (b *Heartbeater) digest(leading bool) uint64 {
 	now := b.Clock.Now()
 	d := memberDigest(b.self)
 	for _, k := range b.members {
@@ -59,7 +59,7 @@
 
 // recordRow records that a member was alive at a time and returns it, or nil if it is this
 // member or has no name. The caller must hold the lock.
-func (b *Beater) recordRow(r *Row, lastAlive timekeeper.Millis) *knownMember {
+func (b *Heartbeater) recordRow(r *Row, lastAlive timekeeper.Millis) *knownMember {
 	if r.Name == "" || r.Name == b.self.Name {
 		return nil
 	}
@@ -75,7 +75,7 @@
 	return k
 }
 
-func (b *Beater) insert(m Member, lastAlive timekeeper.Millis) *knownMember {
+func (b *Heartbeater) insert(m Member, lastAlive timekeeper.Millis) *knownMember {
 	if b.members == nil {
 		b.members = map[string]*knownMember{}
 		b.sites = map[string]registrar.Site{}
@@ -88,7 +88,7 @@
 
 // removeSilent removes members that have been silent for forgetTimeout. The caller must hold
 // the lock.
-func (b *Beater) removeSilent() {
+func (b *Heartbeater) removeSilent() {
 	now := b.Clock.Now()
 	for n, k := range b.members {
 		if now-max(k.lastAlive, k.confirmed) > forgetTimeout {
--- a/internal/process/heartbeater/relay.go
+++ b/internal/process/heartbeater/relay.go
@@ -5,7 +5,7 @@
 )
 
 // Relay sends changes to the other members of the region if this one leads it.
-func (b *Beater) Relay(c Changes) {
+func (b *Heartbeater) Relay(c Changes) {
 	self := b.Self()
 	b.lock.Lock()
 	if b.leader(self) != nil {
@@ -19,7 +19,7 @@
 
 // Ask asks the leader of the region for the changes of a kind after a revision. It reports
 // false if this member leads itself.
-func (b *Beater) Ask(kind string, from uint64) bool {
+func (b *Heartbeater) Ask(kind string, from uint64) bool {
 	self := b.Self()
 	b.lock.Lock()
 	leader := b.leader(self)
@@ -32,11 +32,11 @@
 }
 
 // handleAsk sends the changes that a member asked for.
-func (b *Beater) handleAsk(m *Ask) {
-	if b.Missed == nil {
+func (b *Heartbeater) handleAsk(m *Ask) {
+	if b.ChangesAfter == nil {
 		return
 	}
-	for _, c := range b.Missed(m.Kind, m.From) {
+	for _, c := range b.ChangesAfter(m.Kind, m.From) {
 		b.send([]string{m.Beats}, &Datagram{Relay: relayOf(c)})
 	}
 }
@@ -49,7 +49,7 @@
 }
 
 // Announce sends homes of keys to the other members of the region.
-func (b *Beater) Announce(list []assigner.Assignment) {
+func (b *Heartbeater) Announce(list []assigner.Assignment) {
 	self := b.Self()
 	b.lock.Lock()
 	to := b.region(self.Site.Region())
@@ -59,7 +59,7 @@
 
 // broadcast sends near to the other members of this region, and far to the first members of
 // the other regions. far must ask them to forward it.
-func (b *Beater) broadcast(self Member, near, far *Datagram) {
+func (b *Heartbeater) broadcast(self Member, near, far *Datagram) {
 	b.lock.Lock()
 	to, toFar := b.region(self.Site.Region()), b.remoteTargets(self.Site.Region())
 	b.lock.Unlock()
@@ -69,7 +69,7 @@
 
 // forward forwards a datagram from another region to the members of this one if this member
 // leads it.
-func (b *Beater) forward(d *Datagram) {
+func (b *Heartbeater) forward(d *Datagram) {
 	self := b.Self()
 	b.lock.Lock()
 	var to []string
--- a/internal/process/heartbeater/start_test.go
+++ b/internal/process/heartbeater/start_test.go
@@ -48,7 +48,7 @@
 	}
 
 	timedMember struct {
-		*heartbeater.Beater
+		*heartbeater.Heartbeater
 		self    heartbeater.Member
 		startAt timekeeper.Millis
 		started bool
@@ -122,7 +122,7 @@
 }
 
 func (n *timedNetwork) add(m *timedMember) {
-	m.Beater = &heartbeater.Beater{
+	m.Heartbeater = &heartbeater.Heartbeater{
 		Self:  func() heartbeater.Member { return m.self },
 		Clock: timekeeper.Clock{Monotonic: func() timekeeper.Millis { return n.now }},
 		Send:  func(to string, d []byte) { n.send(m, to, d) },
@@ -173,7 +173,7 @@
 				at, known := registered[other]
 				if known && at <= n.now-staleBy {
 					o := n.members[other].self
-					m.Learn(heartbeater.Member{Name: o.Name, Front: o.Front, Beats: o.Beats, Site: o.Site})
+					m.AddMember(heartbeater.Member{Name: o.Name, Front: o.Front, Beats: o.Beats, Site: o.Site})
 				}
 			}
 		})
@@ -196,9 +196,9 @@
 	for _, m := range n.members {
 		switch {
 		case m.dead || m.self.Site.Region() != region:
-		case m.Leads():
+		case m.IsLeader():
 			leads++
-		case !m.Led():
+		case !m.FollowsLeader():
 			withoutLeader++
 		}
 	}
@@ -258,7 +258,7 @@
 	n.runUntil(5000)
 	for _, name := range n.names {
 		m := n.members[name]
-		m.dead = m.self.Site.Region() == "west" && m.Leads()
+		m.dead = m.self.Site.Region() == "west" && m.IsLeader()
 	}
 	// Three heartbeats of silence, and two more until the next leader is heard.
 	n.runUntil(7700)
--- a/internal/process/heartbeater/suspects.go
+++ b/internal/process/heartbeater/suspects.go
@@ -5,7 +5,7 @@
 )
 
 // AnnounceSuspects sends suspects found by this member to the other members of all regions.
-func (b *Beater) AnnounceSuspects(list []quarantiner.Suspect) {
+func (b *Heartbeater) AnnounceSuspects(list []quarantiner.Suspect) {
 	self := b.Self()
 	packed := quarantiner.Pack(list)
 	b.broadcast(self,
@@ -15,14 +15,14 @@
 
 // handleSuspects records suspects sent by another member, forwards them to the members of this
 // region if asked to, and replies with those that are newer here.
-func (b *Beater) handleSuspects(m *Suspects) {
+func (b *Heartbeater) handleSuspects(m *Suspects) {
 	list, err := quarantiner.Unpack(m.Packed)
 	if err != nil || b.Quarantine == nil {
 		return // the datagram may come from another version
 	}
 	adopted, newer := b.Quarantine.Merge(list)
-	if len(adopted) > 0 && b.Suspected != nil {
-		b.Suspected(adopted)
+	if len(adopted) > 0 && b.OnSuspects != nil {
+		b.OnSuspects(adopted)
 	}
 	if m.PassOn {
 		b.forward(&Datagram{Suspects: &Suspects{Packed: m.Packed}})
@@ -35,7 +35,7 @@
 // syncSuspects sends the suspects known here to the sender of a heartbeat whose digest
 // differs. This makes up for lost datagrams and brings members up to date that have just
 // started or were cut off.
-func (b *Beater) syncSuspects(m *Beat) {
+func (b *Heartbeater) syncSuspects(m *Beat) {
 	if b.Quarantine == nil || m.Suspects == b.Quarantine.Digest() {
 		return
 	}
@@ -44,7 +44,7 @@
 	}
 }
 
-func (b *Beater) suspectDigest() uint64 {
+func (b *Heartbeater) suspectDigest() uint64 {
 	if b.Quarantine == nil {
 		return 0
 	}
--- a/internal/process/heartbeater/suspects_test.go
+++ b/internal/process/heartbeater/suspects_test.go
@@ -64,7 +64,7 @@
 				n.loss = loss
 				sent, bytes := 0, 0
 				for _, m := range n.members {
-					m.Counted = func(c heartbeater.Traffic) {
+					m.OnTraffic = func(c heartbeater.Traffic) {
 						if c.Purpose == heartbeater.SuspectPurpose && c.Sent > 0 {
 							sent, bytes = sent+1, bytes+int(c.Sent)
 						}
--- a/internal/process/heartbeater/target.go
+++ b/internal/process/heartbeater/target.go
@@ -7,7 +7,7 @@
 
 // memberTargets returns the addresses that a member sends its heartbeats to while it does not lead.
 // They include discovery addresses if it hears no leader.
-func (b *Beater) memberTargets(region string) []string {
+func (b *Heartbeater) memberTargets(region string) []string {
 	first := b.first(region, heartbeatTargets)
 	now := b.Clock.Now()
 	for _, k := range b.members {
@@ -21,7 +21,7 @@
 // leaderTargets returns the addresses that a leader sends its heartbeats to: its region and the
 // seeds, and discovery addresses while it hears no member. Two leaders of a region whose members
 // don't know each other discover each other through a seed.
-func (b *Beater) leaderTargets(region string) []string {
+func (b *Heartbeater) leaderTargets(region string) []string {
 	to := append(b.region(region), b.seedTargets()...)
 	now := b.Clock.Now()
 	for _, k := range b.members {
@@ -33,13 +33,13 @@
 }
 
 // seedTargets returns the seeds except this member.
-func (b *Beater) seedTargets() []string {
+func (b *Heartbeater) seedTargets() []string {
 	return slices.DeleteFunc(slices.Clone(b.Seeds), func(s string) bool { return s == b.self.Beats })
 }
 
 // discoveryTargets returns up to maxDiscoveryTargets random addresses of seeds and known
 // members, for a member that hears no other.
-func (b *Beater) discoveryTargets() []string {
+func (b *Heartbeater) discoveryTargets() []string {
 	to := b.seedTargets()
 	for _, k := range b.members {
 		to = append(to, k.Beats)
@@ -50,7 +50,7 @@
 
 // region returns the addresses of the other members of a region, including those that have
 // been silent for less than forgetTimeout.
-func (b *Beater) region(region string) (to []string) {
+func (b *Heartbeater) region(region string) (to []string) {
 	for _, k := range b.members {
 		if k.Site.Region() == region {
 			to = append(to, k.Beats)
@@ -60,7 +60,7 @@
 }
 
 // remoteTargets returns the addresses of the first members of each other region.
-func (b *Beater) remoteTargets(region string) (to []string) {
+func (b *Heartbeater) remoteTargets(region string) (to []string) {
 	regions := map[string]bool{}
 	for _, k := range b.members {
 		regions[k.Site.Region()] = true
@@ -81,7 +81,7 @@
 }
 
 // first returns the addresses of the first n living members of a region in the leader order.
-func (b *Beater) first(region string, n int) (to []string) {
+func (b *Heartbeater) first(region string, n int) (to []string) {
 	now := b.Clock.Now()
 	var l []*knownMember
 	for _, k := range b.members {
--- a/internal/process/heartbeater/terminated.go
+++ b/internal/process/heartbeater/terminated.go
@@ -5,9 +5,9 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// AnnounceEnded announces a terminated incarnation of an upstream to the other members of
+// AnnounceTerminated announces a terminated incarnation of an upstream to the other members of
 // all regions.
-func (b *Beater) AnnounceEnded(i cataloger.Incarnation) {
+func (b *Heartbeater) AnnounceTerminated(i cataloger.Incarnation) {
 	m := &Ended{Upstreams: []string{string(i.ID)}, Born: []int64{int64(i.Born)}}
 	far := &Ended{Upstreams: m.Upstreams, Born: m.Born, PassOn: true}
 	b.broadcast(b.Self(), &Datagram{Ended: m}, &Datagram{Ended: far})
@@ -15,7 +15,7 @@
 
 // handleEnded handles an announcement of terminated upstreams and, if asked to, forwards it to
 // the members of this region.
-func (b *Beater) handleEnded(m *Ended) {
+func (b *Heartbeater) handleEnded(m *Ended) {
 	if b.Ended != nil {
 		for _, i := range incarnations(m) {
 			b.Ended(i)
--- a/internal/process/heartbeater/traffic.go
+++ b/internal/process/heartbeater/traffic.go
@@ -51,16 +51,16 @@
 }
 
 // count reports bytes sent to or received from an address.
-func (b *Beater) count(address string, t Traffic) {
-	if b.Counted == nil {
+func (b *Heartbeater) count(address string, t Traffic) {
+	if b.OnTraffic == nil {
 		return
 	}
 	t.Distance = b.distance(address)
-	b.Counted(t)
+	b.OnTraffic(t)
 }
 
 // distance returns the distance to the member with a datagram address.
-func (b *Beater) distance(address string) registrar.Distance {
+func (b *Heartbeater) distance(address string) registrar.Distance {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.self.Site.Distance(b.sites[address])
--- a/internal/process/heartbeater/traffic_test.go
+++ b/internal/process/heartbeater/traffic_test.go
@@ -24,7 +24,7 @@
 	n := newNetwork()
 	sent, received := map[trafficKey]int64{}, map[trafficKey]int64{}
 	for i, site := range []registrar.Site{"east/a", "east/a", "east/b", "west/a"} {
-		n.add(fmt.Sprintf("m%02d", i), site, "m00", "m01", "m02", "m03").Counted = func(t heartbeater.Traffic) {
+		n.add(fmt.Sprintf("m%02d", i), site, "m00", "m01", "m02", "m03").OnTraffic = func(t heartbeater.Traffic) {
 			sent[trafficKey{t.Purpose, t.Distance}] += t.Sent
 			received[trafficKey{t.Purpose, t.Distance}] += t.Received
 		}
--- a/internal/process/heartbeater/wire.go
+++ b/internal/process/heartbeater/wire.go
@@ -10,7 +10,7 @@
 )
 
 // rows returns the rows of the living members of a region, or of all regions if it is "".
-func (b *Beater) rows(region string) (rows []*Row) {
+func (b *Heartbeater) rows(region string) (rows []*Row) {
 	now := b.Clock.Now()
 	for _, k := range b.members {
 		if now-k.lastAlive < MemberTimeout && (region == "" || k.Site.Region() == region) {
@@ -22,7 +22,7 @@
 
 // remoteRows returns the rows of members of other regions that sent this one a heartbeat: the
 // leader may not know them.
-func (b *Beater) remoteRows() (rows []*Row) {
+func (b *Heartbeater) remoteRows() (rows []*Row) {
 	now := b.Clock.Now()
 	for _, k := range b.members {
 		if k.Site.Region() != b.self.Site.Region() && k.lastHeartbeat > 0 && now-k.lastHeartbeat < MemberTimeout {
@@ -32,11 +32,11 @@
 	return rows
 }
 
-func (b *Beater) watermarks() (watermarks []*Mark) {
-	if b.Marks == nil {
+func (b *Heartbeater) watermarks() (watermarks []*Mark) {
+	if b.Watermarks == nil {
 		return nil
 	}
-	for k, r := range b.Marks() {
+	for k, r := range b.Watermarks() {
 		watermarks = append(watermarks, &Mark{Kind: k, Revision: r})
 	}
 	return watermarks
@@ -44,7 +44,7 @@
 
 // send sends a datagram once to each address, with the digest of known suspects if it is a
 // heartbeat.
-func (b *Beater) send(to []string, d *Datagram) {
+func (b *Heartbeater) send(to []string, d *Datagram) {
 	if len(to) == 0 {
 		return
 	}
--- a/internal/process/joiner/joiner.go
+++ b/internal/process/joiner/joiner.go
@@ -42,15 +42,15 @@
 		Self  func() registrar.Member
 		Lease *leaser.Lease
 		Links *linker.Manager
-		// Beat fills in a heartbeat.
-		Beat func(*framer.Heartbeat)
+		// FillHeartbeat fills in a heartbeat.
+		FillHeartbeat func(*framer.Heartbeat)
 		// Lead is called when this daemon acquires or loses the leader's lease.
 		Lead func(leaser.Fence, bool)
-		// SelfBeat handles the heartbeats that this daemon sends to itself while it
+		// HandleOwnHeartbeat handles the heartbeats that this daemon sends to itself while it
 		// leads.
-		SelfBeat func(*framer.Heartbeat) *framer.Ack
-		// Shun reports whether this daemon must not acquire the leader's lease now.
-		Shun func() bool
+		HandleOwnHeartbeat func(*framer.Heartbeat) *framer.Ack
+		// AvoidLeading reports whether this daemon must not acquire the leader's lease now.
+		AvoidLeading func() bool
 
 		pause       pauseDetector
 		triggerOnce sync.Once
@@ -111,8 +111,8 @@
 	return j.Clock.Now() < j.confirmed+Validity
 }
 
-// Poke triggers a heartbeat ahead of schedule, to report a change.
-func (j *Joiner) Poke() {
+// TriggerHeartbeat triggers a heartbeat ahead of schedule, to report a change.
+func (j *Joiner) TriggerHeartbeat() {
 	select {
 	case j.triggerChannel() <- struct{}{}:
 	default:
@@ -125,8 +125,8 @@
 	return j.trigger
 }
 
-// LeadHealthy reports whether the leader recently acknowledged a heartbeat.
-func (j *Joiner) LeadHealthy() bool {
+// LeaderHealthy reports whether the leader recently acknowledged a heartbeat.
+func (j *Joiner) LeaderHealthy() bool {
 	j.lock.Lock()
 	defer j.lock.Unlock()
 	// The leader is considered lost after two and a half heartbeat intervals without
@@ -149,7 +149,7 @@
 // Outage reports whether the platform is unreachable, as last reported by the leader
 // or, without a healthy leader, as seen by this daemon.
 func (j *Joiner) Outage() bool {
-	if j.LeadHealthy() {
+	if j.LeaderHealthy() {
 		j.lock.Lock()
 		defer j.lock.Unlock()
 		return j.platformDown
@@ -157,8 +157,8 @@
 	return !j.Lease.Reachable()
 }
 
-// LeadIs returns the incarnation of the leader that this daemon sends heartbeats to.
-func (j *Joiner) LeadIs() registrar.Incarnation {
+// Leader returns the incarnation of the leader that this daemon sends heartbeats to.
+func (j *Joiner) Leader() registrar.Incarnation {
 	j.lock.Lock()
 	defer j.lock.Unlock()
 	return j.leader
@@ -179,7 +179,7 @@
 		if held != wasHeld {
 			j.Lead(fence, held)
 			wasHeld = held
-			j.Poke()
+			j.TriggerHeartbeat()
 		}
 		select {
 		case <-ctx.Done():
@@ -190,11 +190,11 @@
 }
 
 func (j *Joiner) stepLease(ctx context.Context) time.Duration {
-	if _, held := j.Lease.Held(); !held && j.LeadHealthy() {
+	if _, held := j.Lease.Held(); !held && j.LeaderHealthy() {
 		return leaseCheckInterval
 	}
 	_, held := j.Lease.Held()
-	if !held && j.Shun() {
+	if !held && j.AvoidLeading() {
 		_ = j.Lease.Look(ctx)
 		return leaseCheckInterval
 	}
@@ -220,11 +220,11 @@
 	h := &framer.Heartbeat{Sequence: j.sequence.Add(1)}
 	now := j.Clock.Now()
 	if _, held := j.Lease.Held(); held {
-		j.Beat(h)
+		j.FillHeartbeat(h)
 		j.recordSent(h.Sequence, now)
 		j.setLeader(j.Self().Incarnation)
-		if a := j.SelfBeat(h); a != nil {
-			j.Acked(a)
+		if a := j.HandleOwnHeartbeat(h); a != nil {
+			j.HandleAck(a)
 		}
 		return
 	}
@@ -232,7 +232,7 @@
 	if r.Holder == "" || r.Holder == string(j.Self().Incarnation) {
 		return
 	}
-	if !alive && !j.LeadHealthy() && j.Lease.Reachable() {
+	if !alive && !j.LeaderHealthy() && j.Lease.Reachable() {
 		return
 	}
 	leader := registrar.Member{Incarnation: registrar.Incarnation(r.Holder), Links: r.Address}
@@ -241,7 +241,7 @@
 	if !p.Up() {
 		return
 	}
-	j.Beat(h)
+	j.FillHeartbeat(h)
 	j.recordSent(h.Sequence, now)
 	p.Send(framer.KindHeartbeat, h)
 }
@@ -264,8 +264,8 @@
 	delete(j.sent, sequence-maxUnacknowledged)
 }
 
-// Acked handles the acknowledgement of a heartbeat.
-func (j *Joiner) Acked(a *framer.Ack) {
+// HandleAck handles the acknowledgement of a heartbeat.
+func (j *Joiner) HandleAck(a *framer.Ack) {
 	pauses := j.pause.check(j.Clock.Now())
 	j.lock.Lock()
 	defer j.lock.Unlock()
--- a/internal/process/joiner/joiner_test.go
+++ b/internal/process/joiner/joiner_test.go
@@ -28,11 +28,11 @@
 	is := is.New(t)
 	clock := timekeeper.Clock{}
 	j := &joiner.Joiner{
-		Clock: clock,
-		Self:  func() registrar.Member { return registrar.Member{Incarnation: "a"} },
-		Lease: &leaser.Lease{Clock: clock, Store: &storer.Client{Do: noPlatform}},
-		Beat:  func(*framer.Heartbeat) {},
-		Shun:  func() bool { return true },
+		Clock:         clock,
+		Self:          func() registrar.Member { return registrar.Member{Incarnation: "a"} },
+		Lease:         &leaser.Lease{Clock: clock, Store: &storer.Client{Do: noPlatform}},
+		FillHeartbeat: func(*framer.Heartbeat) {},
+		AvoidLeading:  func() bool { return true },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -40,9 +40,9 @@
 	for range 4 {
 		w.Go(func() {
 			is.True(!j.Valid())
-			is.True(!j.LeadHealthy())
-			j.Poke()
-			j.Acked(&framer.Ack{Sequence: 1, Lead: true, Known: true})
+			is.True(!j.LeaderHealthy())
+			j.TriggerHeartbeat()
+			j.HandleAck(&framer.Ack{Sequence: 1, Lead: true, Known: true})
 		})
 	}
 	j.Start(ctx)
--- a/internal/process/leader/leader.go
+++ b/internal/process/leader/leader.go
@@ -124,9 +124,9 @@
 	return r.Holder == l.Lease.Holder && !r.Released && !l.Lease.Reachable()
 }
 
-// Hear processes a heartbeat and returns its acknowledgement. s is nil for the
+// HandleHeartbeat processes a heartbeat and returns its acknowledgement. s is nil for the
 // leader's own heartbeat.
-func (l *Leader) Hear(from registrar.Member, s *linker.Session, h *framer.Heartbeat) *framer.Ack {
+func (l *Leader) HandleHeartbeat(from registrar.Member, s *linker.Session, h *framer.Heartbeat) *framer.Ack {
 	leading := l.IsLeader()
 	fence, _ := l.Lease.Held()
 	a := &framer.Ack{
@@ -159,9 +159,9 @@
 	return ok && l.members.contains(i)
 }
 
-// Gone is called when a link is closed. It probes whether the member at the other
+// LinkClosed is called when a link is closed. It probes whether the member at the other
 // end has terminated.
-func (l *Leader) Gone(ctx context.Context, s *linker.Session) {
+func (l *Leader) LinkClosed(ctx context.Context, s *linker.Session) {
 	l.lock.Lock()
 	_, ours := l.cursors[s]
 	delete(l.cursors, s)
--- a/internal/process/leader/members.go
+++ b/internal/process/leader/members.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// Silence is the time without a heartbeat after which a member is removed from
+	// MemberTimeout is the time without a heartbeat after which a member is removed from
 	// the roster. It is longer than joiner.Validity, so by then the member has
 	// already stopped acting as one by its own clock.
-	Silence = 9 * timekeeper.Second
+	MemberTimeout = 9 * timekeeper.Second
 
 	// maxHeartbeatsPerSecond is the highest rate of heartbeats that a leader asks its
 	// region for. With 71 members, the region size planned for two years ahead,
@@ -87,7 +87,7 @@
 }
 
 // adoptRoster adds the members of a roster written by an earlier leader. Each has the
-// full Silence from now to send a heartbeat, except the previous leader, whose
+// full MemberTimeout from now to send a heartbeat, except the previous leader, whose
 // membership ended with its lease and which has only formerLeaderTimeout.
 func (m *members) adoptRoster(r registrar.Roster, before registrar.Incarnation, now timekeeper.Millis) {
 	m.lock.Lock()
@@ -98,7 +98,7 @@
 		}
 		lastHeartbeat := now
 		if x.Incarnation == before {
-			lastHeartbeat = now - Silence + formerLeaderTimeout
+			lastHeartbeat = now - MemberTimeout + formerLeaderTimeout
 		}
 		m.all[x.Incarnation] = &memberRecord{member: x, lastHeartbeat: lastHeartbeat, leaving: x.Leaving, since: x.SinceMillis}
 	}
@@ -165,14 +165,14 @@
 	r.work = work
 }
 
-// removeExpired removes members that have been silent for Silence or have terminated, and
+// removeExpired removes members that have been silent for MemberTimeout or have terminated, and
 // returns them.
 func (m *members) removeExpired(now, wall timekeeper.Millis) []registrar.Member {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	var gone []registrar.Member
 	for i, r := range m.all {
-		if r.terminated || now-r.lastHeartbeat >= Silence {
+		if r.terminated || now-r.lastHeartbeat >= MemberTimeout {
 			gone = append(gone, r.member)
 			m.past = append(m.past, registrar.Past{Incarnation: i, SinceMillis: r.since, GoneMillis: wall})
 			delete(m.all, i)
@@ -296,7 +296,7 @@
 
 // runProbe determines whether a member whose link was lost has terminated: either
 // nothing listens at its address, or another process does. A network failure shows
-// neither, and the member stays on the roster until Silence has passed.
+// neither, and the member stays on the roster until MemberTimeout has passed.
 func (l *Leader) runProbe(ctx context.Context, m registrar.Member, since timekeeper.Millis) {
 	for range probeAttempts {
 		if l.refusesConnection(ctx, m) {
--- a/internal/process/runner/assemble.go
+++ b/internal/process/runner/assemble.go
@@ -159,7 +159,7 @@
 	d.snapshot.Store(next)
 	d.claimer.Set(next.View, rosterVersions, next.Settings)
 	d.logVersions(last, next)
-	d.joiner.Poke()
+	d.joiner.TriggerHeartbeat()
 }
 
 // parts returns the parts of the next snapshot and the roster version of each
--- a/internal/process/runner/control.go
+++ b/internal/process/runner/control.go
@@ -52,13 +52,13 @@
 		if err := f.Decode(&m); err != nil {
 			return err
 		}
-		return s.Send(framer.KindAck, d.leader.Hear(s.Remote(), s, &m))
+		return s.Send(framer.KindAck, d.leader.HandleHeartbeat(s.Remote(), s, &m))
 	case framer.KindAck:
 		var m framer.Ack
 		if err := f.Decode(&m); err != nil {
 			return err
 		}
-		d.joiner.Acked(&m)
+		d.joiner.HandleAck(&m)
 	case framer.KindObjects:
 		b, err := leader.ReadObjects(f)
 		if err != nil {
@@ -76,13 +76,13 @@
 		if err := f.Decode(&m); err != nil {
 			return err
 		}
-		return s.Send(framer.KindReleased, d.claimer.Asked(&m))
+		return s.Send(framer.KindReleased, d.claimer.HandleClaim(&m))
 	case framer.KindReleased:
 		var m framer.Released
 		if err := f.Decode(&m); err != nil {
 			return err
 		}
-		d.claimer.Answered(&m)
+		d.claimer.HandleReleased(&m)
 	case framer.KindSuspects:
 		var m framer.Suspects
 		if err := f.Decode(&m); err != nil {
@@ -163,7 +163,7 @@
 }
 
 func (d *Daemon) handleOwnHeartbeat(h *framer.Heartbeat) *framer.Ack {
-	return d.leader.Hear(d.Self(), nil, h)
+	return d.leader.HandleHeartbeat(d.Self(), nil, h)
 }
 
 // sendInitialState sends the suspects of the quarantine and the free slots of every
--- a/internal/process/runner/daemon.go
+++ b/internal/process/runner/daemon.go
@@ -245,7 +245,7 @@
 		Self:     d.Self,
 		Dial:     d.options.Dial,
 		Control:  d.handleControl,
-		Closed:   func(s *linker.Session) { d.leader.Gone(d.base, s) },
+		Closed:   func(s *linker.Session) { d.leader.LinkClosed(d.base, s) },
 		Accepted: d.sendInitialState,
 	}
 	lease := &leaser.Lease{
@@ -267,14 +267,14 @@
 		Settings: d.settings,
 	}
 	d.joiner = &joiner.Joiner{
-		Clock:    d.clock,
-		Self:     d.Self,
-		Lease:    lease,
-		Links:    d.links,
-		Beat:     d.fillHeartbeat,
-		Lead:     func(f leaser.Fence, held bool) { d.leader.Lead(d.base, f, held) },
-		SelfBeat: d.handleOwnHeartbeat,
-		Shun:     d.avoidsLeading,
+		Clock:              d.clock,
+		Self:               d.Self,
+		Lease:              lease,
+		Links:              d.links,
+		FillHeartbeat:      d.fillHeartbeat,
+		Lead:               func(f leaser.Fence, held bool) { d.leader.Lead(d.base, f, held) },
+		HandleOwnHeartbeat: d.handleOwnHeartbeat,
+		AvoidLeading:       d.avoidsLeading,
 	}
 	d.owner.Valid = d.joiner.Valid
 	d.quarantine = d.newQuarantine()
--- a/internal/process/runner/status.go
+++ b/internal/process/runner/status.go
@@ -93,7 +93,7 @@
 		Site:        d.self.Site,
 		Members:     d.memberCount(),
 		Lead:        leads,
-		LeadReached: leads || d.joiner.LeadHealthy(),
+		LeadReached: leads || d.joiner.LeaderHealthy(),
 		Valid:       d.joiner.Valid(),
 		Control:     d.controlStatus(),
 
--- a/internal/process/runner/stop.go
+++ b/internal/process/runner/stop.go
@@ -40,7 +40,7 @@
 	d.leaving.Store(true)
 	d.log.WithField("inFlight", d.forwarder.InFlight()).Info("leaving")
 	if s := d.snapshot.Load(); s != nil {
-		d.joiner.Poke()
+		d.joiner.TriggerHeartbeat()
 		d.waitUntil(ctx, began+announceTimeout, d.leavingAnnounced)
 		d.waitUntil(ctx, d.clock.Now()+d.maxLookupLifetime()+lookupMargin, func() bool { return false })
 	}
--- a/internal/process/runner/sync.go
+++ b/internal/process/runner/sync.go
@@ -172,7 +172,7 @@
 			return
 		case <-time.After(pollInterval/2 + rand.N(pollInterval)):
 		}
-		if d.joiner.LeadHealthy() {
+		if d.joiner.LeaderHealthy() {
 			continue
 		}
 		b, err := d.store.Watch(ctx, leader.Prefixes, d.replica.Revision(), 0)
@@ -197,7 +197,7 @@
 	if s == nil {
 		return
 	}
-	leaderID := d.joiner.LeadIs()
+	leaderID := d.joiner.Leader()
 	closed := d.links.Keep(func(i registrar.Incarnation, idle time.Duration) bool {
 		m, ok := s.View.Find(i)
 		return i == leaderID || idle < linkIdleTimeout && ok || ok && m.Site == d.self.Site
--- a/internal/process/switcher/mechanisms.go
+++ b/internal/process/switcher/mechanisms.go
@@ -27,9 +27,9 @@
 	// Rank reserves capacity for the most urgent requests. Without it, all requests share
 	// the same capacity.
 	Rank
-	// LineLimits bounds the queue of an upstream. Without it, requests join queues of any
+	// QueueLimits bounds the queue of an upstream. Without it, requests join queues of any
 	// length.
-	LineLimits
+	QueueLimits
 	// FailureShares reduces the share of failing upstreams. Without it, they are treated
 	// like any other.
 	FailureShares
@@ -51,12 +51,12 @@
 	// StartHomes makes the homes part of the data that a starting entry needs. Without it,
 	// the entry is ready before they are read.
 	StartHomes
-	// StartLead makes a starting process wait for a leader of its region. Without it, the
+	// StartLeader makes a starting process wait for a leader of its region. Without it, the
 	// process watches the store at once.
-	StartLead
-	// RequestsAhead handles pipelined requests concurrently. Without it, they are handled
+	StartLeader
+	// PipelinedRequests handles pipelined requests concurrently. Without it, they are handled
 	// one after another.
-	RequestsAhead
+	PipelinedRequests
 	// RelayedChanges makes the leader of a region relay changes. Without it, each VM
 	// watches the store itself.
 	RelayedChanges
@@ -71,25 +71,25 @@
 )
 
 var names = [mechanismCount]string{
-	Homes:          "homes",
-	SavedHomes:     "saved-homes",
-	Moves:          "moves",
-	Waiting:        "waiting",
-	RefusedStay:    "refused-stay",
-	Rank:           "rank",
-	LineLimits:     "line-limits",
-	FailureShares:  "failure-shares",
-	BackOff:        "back-off",
-	FormerHomes:    "former-homes",
-	TightRoutes:    "tight-routes",
-	HomeRegions:    "home-regions",
-	StartWaits:     "start-waits",
-	StartHomes:     "start-homes",
-	StartLead:      "start-lead",
-	RequestsAhead:  "requests-ahead",
-	RelayedChanges: "relayed-changes",
-	Strength:       "strength",
-	CountedLimits:  "counted-limits",
+	Homes:             "homes",
+	SavedHomes:        "saved-homes",
+	Moves:             "moves",
+	Waiting:           "waiting",
+	RefusedStay:       "refused-stay",
+	Rank:              "rank",
+	QueueLimits:       "line-limits",
+	FailureShares:     "failure-shares",
+	BackOff:           "back-off",
+	FormerHomes:       "former-homes",
+	TightRoutes:       "tight-routes",
+	HomeRegions:       "home-regions",
+	StartWaits:        "start-waits",
+	StartHomes:        "start-homes",
+	StartLeader:       "start-lead",
+	PipelinedRequests: "requests-ahead",
+	RelayedChanges:    "relayed-changes",
+	Strength:          "strength",
+	CountedLimits:     "counted-limits",
 }
 
 type (
--- a/internal/process/switcher/mechanisms_test.go
+++ b/internal/process/switcher/mechanisms_test.go
@@ -70,7 +70,7 @@
 	s := switcher.Of(switcher.Rank)
 	n := 0
 	for b.Loop() {
-		if s.Has(switcher.LineLimits) {
+		if s.Has(switcher.QueueLimits) {
 			n++
 		}
 	}
--- a/internal/request/dispatcher/dispatcher.go
+++ b/internal/request/dispatcher/dispatcher.go
@@ -171,7 +171,7 @@
 // unanswered requests behind it again. A request without a route waits its turn.
 func (d *Dispatcher) MayOverlap(r *http.Request) bool {
 	c := d.Config()
-	if c == nil || d.Without.Has(switcher.RequestsAhead) {
+	if c == nil || d.Without.Has(switcher.PipelinedRequests) {
 		return false
 	}
 	route := c.Match(r.Host, pathOf(r))
--- a/internal/request/dispatcher/without_test.go
+++ b/internal/request/dispatcher/without_test.go
@@ -29,7 +29,7 @@
 		{switcher.Homes, countHomes, 1, 0},
 		{switcher.RefusedStay, countSentToRefusing, 2, 1},
 		{switcher.BackOff, countDialsOfDead, 1, 2},
-		{switcher.RequestsAhead, countOverlapping, 1, 0},
+		{switcher.PipelinedRequests, countOverlapping, 1, 0},
 		{switcher.Waiting, countAnsweredWithFullHome, 0, 1},
 	}
 	for _, tt := range tests {
--- a/internal/request/placer/place.go
+++ b/internal/request/placer/place.go
@@ -169,7 +169,7 @@
 		return Down
 	case s.excluded() && !p.Without.Has(switcher.FailureShares):
 		return Failing
-	case s.Reported > queueFactor*slots && !p.Without.Has(switcher.LineLimits):
+	case s.Reported > queueFactor*slots && !p.Without.Has(switcher.QueueLimits):
 		return QueueFull
 	case s.Cold:
 		return Cold
--- a/internal/request/placer/without_test.go
+++ b/internal/request/placer/without_test.go
@@ -23,7 +23,7 @@
 		urgent    bool
 		want      placer.Verdict
 	}{
-		{switcher.LineLimits, placer.State{Slots: 6, Reported: 40}, true, placer.QueueFull},
+		{switcher.QueueLimits, placer.State{Slots: 6, Reported: 40}, true, placer.QueueFull},
 		{switcher.FailureShares, placer.State{Slots: 6, Failing: true, FailShare: 0.5}, true, placer.Failing},
 		{switcher.BackOff, placer.State{Slots: 6, Down: true}, true, placer.Down},
 	}
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -462,7 +462,7 @@
 		}
 	}
 	// Longer than the leader waits for heartbeats; waits for no condition.
-	time.Sleep(leader.Silence.Duration() + time.Second)
+	time.Sleep(leader.MemberTimeout.Duration() + time.Second)
 	eventually(t, "both are members", func() bool { return a.status().Members == 2 && b.status().Valid && a.status().Valid })
 	a.setAndWait(2, "44")
 	if !answers() {
