--- a/internal/connection/pipeliner/response.go
+++ b/internal/connection/pipeliner/response.go
@@ -117,10 +117,10 @@
 	p.aborted = true
 	switch {
 	case reason == http.ErrAbortHandler:
-	case p.conn.server.Failed == nil:
+	case p.conn.server.Panicked == nil:
 		panic(reason)
 	default:
-		p.conn.server.Failed(reason)
+		p.conn.server.Panicked(reason)
 	}
 }
 
--- a/internal/connection/pipeliner/server.go
+++ b/internal/connection/pipeliner/server.go
@@ -72,10 +72,10 @@
 		MaxHeadBytes int64
 		// Refused, if not nil, is called for each head that no handler saw.
 		Refused func(Kind)
-		// Failed is called when a handler panicked, which closes its connection. If it is
+		// Panicked is called when a handler panicked, which closes its connection. If it is
 		// nil, the panic terminates the process.
-		Failed func(reason any)
-		Clock  timekeeper.Clock
+		Panicked func(reason any)
+		Clock    timekeeper.Clock
 
 		lock        sync.Mutex
 		listeners   map[net.Listener]bool
--- a/internal/connection/sender/send.go
+++ b/internal/connection/sender/send.go
@@ -36,9 +36,9 @@
 	ErrLost = eris.New("connection lost after the request was sent")
 	// ErrTimeout means that the request was sent and its deadline passed.
 	ErrTimeout = eris.New("no answer in time")
-	// ErrSilent means that the connection was lost after the request was sent since the
+	// ErrUnacknowledged means that the connection was lost after the request was sent since the
 	// other end stopped acknowledging data (ETIMEDOUT). The request may have run.
-	ErrSilent = eris.New("upstream stopped acknowledging data")
+	ErrUnacknowledged = eris.New("upstream stopped acknowledging data")
 	// ErrMalformed means that what was received is not a response to the request.
 	ErrMalformed = eris.New("malformed answer")
 	// ErrIncompleteBody means that the caller's body is shorter than its length.
@@ -53,29 +53,29 @@
 		Target string
 		Host   string
 		Header http.Header
-		// Short is the body if it was received completely. Otherwise Stream is
+		// Buffered is the body if it was received completely. Otherwise Stream is
 		// the body and Length its length in bytes, -1 for a chunked body.
-		Short  []byte
-		Stream io.Reader
-		Length int64
+		Buffered []byte
+		Stream   io.Reader
+		Length   int64
 		// EchoField is the name of a header field that the upstream echoes, and
 		// Echo its value, which identifies the response to this request. An empty
 		// name turns the comparison off.
 		EchoField string
 		Echo      string
-		// Until is the deadline of the exchange, by the monotonic clock.
-		Until time.Time
+		// ConnDeadline is the deadline of the exchange, by the monotonic clock.
+		ConnDeadline time.Time
 		// DialTimeout bounds the dial.
 		DialTimeout timekeeper.Millis
-		// Young, if set, bounds how long a reused connection may have been idle.
-		Young timekeeper.Millis
+		// MaxIdle, if set, bounds how long a reused connection may have been idle.
+		MaxIdle timekeeper.Millis
 		// Check, if not nil, reports right before sending whether the request may
 		// still be sent.
 		Check func() bool
 	}
 
-	// Answer is a response. Read reads its body. The caller must call Close.
-	Answer struct {
+	// Response is a response. Read reads its body. The caller must call Close.
+	Response struct {
 		Status int
 		Header http.Header
 		// Length is the length of the body in bytes, -1 if it is unknown.
@@ -96,7 +96,7 @@
 )
 
 // Do sends a request and waits for the head of its response.
-func (p *Pool) Do(ctx context.Context, q *Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, q *Request) (*Response, error) {
 	c, err := p.connect(ctx, q)
 	if err != nil {
 		return nil, eris.Wrapf(ErrNotSent, "%s: %v", p.Address, err)
@@ -105,8 +105,8 @@
 		p.put(c)
 		return nil, ErrWithdrawn
 	}
-	_ = c.SetDeadline(q.Until)
-	a := &Answer{pool: p, conn: c, bytesBefore: c.bytes.Load(), Reused: c.reused}
+	_ = c.SetDeadline(q.ConnDeadline)
+	a := &Response{pool: p, conn: c, bytesBefore: c.bytes.Load(), Reused: c.reused}
 	a.stopAbort = context.AfterFunc(ctx, c.abort)
 	if err := a.exchange(q); err != nil {
 		a.Close()
@@ -118,10 +118,10 @@
 func (p *Pool) connect(ctx context.Context, q *Request) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.DialTimeout.Duration())
 	defer cancel()
-	return p.get(ctx, q.Young)
+	return p.get(ctx, q.MaxIdle)
 }
 
-func (a *Answer) exchange(q *Request) error {
+func (a *Response) exchange(q *Request) error {
 	if err := a.write(q); err != nil {
 		return classifyError(err)
 	}
@@ -146,7 +146,7 @@
 
 // write sends the head and the body. A streamed body is sent by a goroutine of its
 // own, since an upstream may respond before it has received the whole body.
-func (a *Answer) write(q *Request) error {
+func (a *Response) write(q *Request) error {
 	w := a.conn.writer
 	_, _ = w.WriteString(q.Method)
 	_ = w.WriteByte(' ')
@@ -160,11 +160,11 @@
 		_, _ = w.WriteString("Transfer-Encoding: chunked\r\n")
 	case q.Stream != nil:
 		writeLength(w, q.Length)
-	case len(q.Short) > 0 || q.Method == http.MethodPost || q.Method == http.MethodPut || q.Method == http.MethodPatch:
-		writeLength(w, int64(len(q.Short)))
+	case len(q.Buffered) > 0 || q.Method == http.MethodPost || q.Method == http.MethodPut || q.Method == http.MethodPatch:
+		writeLength(w, int64(len(q.Buffered)))
 	}
 	_, _ = w.WriteString("\r\n")
-	_, _ = w.Write(q.Short)
+	_, _ = w.Write(q.Buffered)
 	if err := w.Flush(); err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 }
 
 // runBody sends a streamed body.
-func (a *Answer) runBody(q *Request) {
+func (a *Response) runBody(q *Request) {
 	err := a.copyBody(q)
 	if err != nil {
 		// A truncated body must not look complete.
@@ -189,7 +189,7 @@
 	a.bodyDone <- err
 }
 
-func (a *Answer) copyBody(q *Request) error {
+func (a *Response) copyBody(q *Request) error {
 	w := a.conn.writer
 	if q.Length >= 0 {
 		n, err := io.Copy(w, io.LimitReader(q.Stream, q.Length))
@@ -213,7 +213,7 @@
 }
 
 // readHead reads the head of a final response and skips interim ones.
-func (a *Answer) readHead(q *Request) (*http.Response, error) {
+func (a *Response) readHead(q *Request) (*http.Response, error) {
 	method := &http.Request{Method: q.Method}
 	for {
 		p, err := http.ReadResponse(a.conn.reader, method)
@@ -229,14 +229,14 @@
 	}
 }
 
-func (a *Answer) setHead(p *http.Response) {
+func (a *Response) setHead(p *http.Response) {
 	a.Status, a.Header, a.Length, a.body = p.StatusCode, p.Header, p.ContentLength, p.Body
 	a.closes = p.Close
 	a.conn.applyKeepAlive(p.Header)
 }
 
 // Read reads the body. Any error but io.EOF means that the body is incomplete.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if err == io.EOF {
 		a.complete = true
@@ -244,19 +244,19 @@
 	return n, err
 }
 
-// Whole reports whether the body was read to its end.
-func (a *Answer) Whole() bool {
+// Complete reports whether the body was read to its end.
+func (a *Response) Complete() bool {
 	return a.complete
 }
 
 // Bytes returns the number of bytes sent and received in this exchange so far.
-func (a *Answer) Bytes() int64 {
+func (a *Response) Bytes() int64 {
 	return a.conn.bytes.Load() - a.bytesBefore
 }
 
 // Close returns the connection to the pool if the exchange is complete in both
 // directions. Otherwise it closes the connection, so that the upstream drops the request.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	stopped := a.stopAbort()
 	if a.complete && !a.closes && stopped && a.bodySent() && a.conn.reader.Buffered() == 0 {
 		_ = a.conn.SetDeadline(time.Time{})
@@ -268,7 +268,7 @@
 
 // bodySent reports whether the body was sent completely. If not, closing the connection
 // ends the goroutine that sends it.
-func (a *Answer) bodySent() bool {
+func (a *Response) bodySent() bool {
 	if a.bodyDone == nil {
 		return true
 	}
@@ -301,7 +301,7 @@
 	case errors.Is(err, ErrMalformed), errors.Is(err, ErrIncompleteBody):
 		return err
 	case errors.Is(err, syscall.ETIMEDOUT):
-		return eris.Wrapf(ErrSilent, "%v", err)
+		return eris.Wrapf(ErrUnacknowledged, "%v", err)
 	}
 	return eris.Wrapf(ErrLost, "%v", err)
 }
--- a/internal/connection/sender/send_test.go
+++ b/internal/connection/sender/send_test.go
@@ -87,14 +87,14 @@
 
 func request(id string) *sender.Request {
 	return &sender.Request{
-		Method:      http.MethodGet,
-		Target:      "/a?b=c",
-		Host:        "h.example",
-		Header:      http.Header{echoField: {id}},
-		EchoField:   echoField,
-		Echo:        id,
-		Until:       time.Now().Add(5 * time.Second),
-		DialTimeout: 2000,
+		Method:       http.MethodGet,
+		Target:       "/a?b=c",
+		Host:         "h.example",
+		Header:       http.Header{echoField: {id}},
+		EchoField:    echoField,
+		Echo:         id,
+		ConnDeadline: time.Now().Add(5 * time.Second),
+		DialTimeout:  2000,
 	}
 }
 
@@ -221,7 +221,7 @@
 		next()
 	})
 	q := request("1")
-	q.Until = time.Now().Add(50 * time.Millisecond)
+	q.ConnDeadline = time.Now().Add(50 * time.Millisecond)
 	_, err = silent.get(q)
 	is.True(errors.Is(err, sender.ErrTimeout))
 
@@ -255,7 +255,7 @@
 		return silentConn{c}, err
 	}
 	_, err := s.get(request("1"))
-	is.True(errors.Is(err, sender.ErrSilent))
+	is.True(errors.Is(err, sender.ErrUnacknowledged))
 }
 
 func TestLeavingCallerEndsTheRequest(t *testing.T) {
--- a/internal/connection/tracker/set.go
+++ b/internal/connection/tracker/set.go
@@ -22,8 +22,8 @@
 	upstreams sync.Map
 }
 
-// Of returns the state of an upstream and creates it on first use.
-func (s *Set) Of(u *cataloger.Upstream) *Upstream {
+// StateOf returns the state of an upstream and creates it on first use.
+func (s *Set) StateOf(u *cataloger.Upstream) *Upstream {
 	i := u.Incarnation()
 	if v, ok := s.upstreams.Load(i); ok {
 		return v.(*Upstream)
--- a/internal/connection/tracker/upstream.go
+++ b/internal/connection/tracker/upstream.go
@@ -111,16 +111,16 @@
 	u.inFlight--
 }
 
-// Note records a reported load.
-func (u *Upstream) Note(r Report) {
+// RecordLoad records a reported load.
+func (u *Upstream) RecordLoad(r Report) {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	u.report, u.reportedAt = r, now
 }
 
-// Reached records a response, and whether it was a failure. It ends the back-off.
-func (u *Upstream) Reached(failed bool) {
+// RecordResponse records a response, and whether it was a failure. It ends the back-off.
+func (u *Upstream) RecordResponse(failed bool) {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -128,9 +128,9 @@
 	u.recordOutcome(failed, failed, now)
 }
 
-// Refused records a response that says that the request did not run. It ends the
+// RecordRefusal records a response that says that the request did not run. It ends the
 // back-off.
-func (u *Upstream) Refused() {
+func (u *Upstream) RecordRefusal() {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -138,16 +138,16 @@
 	u.recordOutcome(true, false, now)
 }
 
-// Lost records that a request was sent and no response came.
-func (u *Upstream) Lost() {
+// RecordLoss records that a request was sent and no response came.
+func (u *Upstream) RecordLoss() {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	u.recordOutcome(true, true, now)
 }
 
-// Unreached records a failed dial and starts or doubles the back-off.
-func (u *Upstream) Unreached() {
+// RecordDialFailure records a failed dial and starts or doubles the back-off.
+func (u *Upstream) RecordDialFailure() {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -156,9 +156,9 @@
 	u.recordOutcome(true, true, now)
 }
 
-// Misdirected records that another incarnation responds at the address, and reports
+// MarkReplaced records that another incarnation responds at the address, and reports
 // whether that was not known before.
-func (u *Upstream) Misdirected() bool {
+func (u *Upstream) MarkReplaced() bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	first := !u.replaced
@@ -184,17 +184,17 @@
 	return 0
 }
 
-// MayWarm reports whether the rate limit allows one more request while the upstream
+// WarmupAllows reports whether the rate limit allows one more request while the upstream
 // is cold. It takes no token.
-func (u *Upstream) MayWarm(perSecond float64, burst int) bool {
+func (u *Upstream) WarmupAllows(perSecond float64, burst int) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return u.coldLimiter(perSecond, burst).Tokens() >= 1
 }
 
-// Warm takes one token from the rate limit while the upstream is cold, and reports
+// TakeWarmup takes one token from the rate limit while the upstream is cold, and reports
 // whether there was one.
-func (u *Upstream) Warm(perSecond float64, burst int) bool {
+func (u *Upstream) TakeWarmup(perSecond float64, burst int) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return u.coldLimiter(perSecond, burst).Allow()
--- a/internal/process/fronter/fronter.go
+++ b/internal/process/fronter/fronter.go
@@ -182,7 +182,7 @@
 // no more requests.
 func (f *Fronter) MarkEnded(i cataloger.Incarnation) {
 	if u, known := f.Catalog.Known(i.ID); known && u.Born == i.Born {
-		f.upstreams.Of(&u).Misdirected()
+		f.upstreams.StateOf(&u).MarkReplaced()
 	}
 }
 
@@ -329,7 +329,7 @@
 		Refused: func(k pipeliner.Kind) {
 			f.Meter.Count("heads_refused", measurer.Labels{Kind: string(k)})
 		},
-		Failed: func(reason any) {
+		Panicked: func(reason any) {
 			f.options.Log.WithField("reason", reason).Error("request handler panicked")
 		},
 		Clock: f.clock,
--- a/internal/process/fronter/parts.go
+++ b/internal/process/fronter/parts.go
@@ -81,13 +81,13 @@
 
 // hasWarmupRoom reports whether this member may send a request to a cold upstream now.
 func (f *Fronter) hasWarmupRoom(u *cataloger.Upstream, t *tracker.Upstream) bool {
-	return f.isWarmupSender(u) && t.MayWarm(f.warmupRate(u), warmupBurst)
+	return f.isWarmupSender(u) && t.WarmupAllows(f.warmupRate(u), warmupBurst)
 }
 
 // acquireWarmupRoom takes one request from this member's part of a cold upstream's warm-up
 // rate and reports whether there was room.
 func (f *Fronter) acquireWarmupRoom(u *cataloger.Upstream, t *tracker.Upstream) bool {
-	return t.Warm(f.warmupRate(u), warmupBurst)
+	return t.TakeWarmup(f.warmupRate(u), warmupBurst)
 }
 
 // warmupRate returns a sender's part of a cold upstream's warm-up rate, in requests per
--- a/internal/process/runner/daemon.go
+++ b/internal/process/runner/daemon.go
@@ -374,7 +374,7 @@
 		IdleTimeout:  func() timekeeper.Millis { return idleTimeout },
 		MaxHeadBytes: maxHeadBytes,
 		Refused:      d.countRefusedHead,
-		Failed:       d.logHandlerPanic,
+		Panicked:     d.logHandlerPanic,
 		Clock:        d.clock,
 	}
 	l := d.callers
--- a/internal/request/assigner/shed_test.go
+++ b/internal/request/assigner/shed_test.go
@@ -46,7 +46,7 @@
 	var states []placer.State
 	for i, u := range list {
 		m := s.upstreams[u]
-		x := s.known.Of(u).State(u)
+		x := s.known.StateOf(u).State(u)
 		x.Reported = float64(len(m.running) + len(m.queue))
 		if s.leavesHome {
 			x.Attempted = u == refused
@@ -69,11 +69,11 @@
 		if u == nil {
 			return
 		}
-		t := s.known.Of(u)
+		t := s.known.StateOf(u)
 		t.Begin()
 		t.End()
 		shed := s.now >= shedFrom && s.now < shedEnd && s.random.Float64() < shedShare
-		t.Reached(shed)
+		t.RecordResponse(shed)
 		if !shed {
 			m := s.upstreams[u]
 			m.queue = append(m.queue, &job{key: k, arrived: s.now})
--- a/internal/request/dispatcher/answer.go
+++ b/internal/request/dispatcher/answer.go
@@ -26,7 +26,7 @@
 
 // handleResponse forwards an upstream's response to the caller. It reports false if the
 // response is not forwarded and the request may be retried.
-func (x *exchange) handleResponse(u *cataloger.Upstream, t *tracker.Upstream, a *sender.Answer) bool {
+func (x *exchange) handleResponse(u *cataloger.Upstream, t *tracker.Upstream, a *sender.Response) bool {
 	if a.Status == http.StatusMisdirectedRequest {
 		x.recordTerminated(t)
 		x.decision.Reason = "other incarnation"
@@ -34,7 +34,7 @@
 		return false
 	}
 	if a.Header.Get(x.d.Fields.NotRun) != "" {
-		t.Refused()
+		t.RecordRefusal()
 		x.decision.Reason = "refused by upstream"
 		x.refusedBy = x.attempted[len(x.attempted)-1]
 		drainResponse(a)
@@ -46,7 +46,7 @@
 	}
 	failed := a.Status >= http.StatusInternalServerError
 	if failed && x.retriesFailure() {
-		t.Reached(true)
+		t.RecordResponse(true)
 		x.markMayHaveRun()
 		x.decision.Reason = "upstream failed"
 		drainResponse(a)
@@ -59,7 +59,7 @@
 // store is unavailable, other VMs would otherwise learn of it only from requests of their own.
 func (x *exchange) recordTerminated(t *tracker.Upstream) {
 	x.misdirected++
-	if t.Misdirected() && x.d.Ended != nil {
+	if t.MarkReplaced() && x.d.Ended != nil {
 		x.d.Ended(x.attempted[len(x.attempted)-1])
 	}
 }
@@ -76,23 +76,23 @@
 	if x.r.Context().Err() != nil {
 		return false
 	}
-	t.Lost()
+	t.RecordLoss()
 	x.decision.Reason = reason
 	x.d.Meter.Count("upstream_lost", x.labels(reason))
 	return false
 }
 
 // forwardResponse forwards a response to the caller: complete, or visibly broken off.
-func (x *exchange) forwardResponse(u *cataloger.Upstream, t *tracker.Upstream, a *sender.Answer, failed bool) bool {
+func (x *exchange) forwardResponse(u *cataloger.Upstream, t *tracker.Upstream, a *sender.Response, failed bool) bool {
 	b := responseBuffers.Get().(*[responseBufferBytes]byte)
 	defer responseBuffers.Put(b)
 	n, err := io.ReadFull(a, b[:])
-	whole := err == io.EOF || err == io.ErrUnexpectedEOF && a.Whole()
+	whole := err == io.EOF || err == io.ErrUnexpectedEOF && a.Complete()
 	if err != nil && !whole {
 		x.checkLoss(u, t, err, x.retryable())
 		return x.discardResponse(t, "answer broke off")
 	}
-	t.Reached(failed)
+	t.RecordResponse(failed)
 	x.copyHeader(a)
 	if whole {
 		x.clearSuspect(a)
@@ -107,7 +107,7 @@
 }
 
 // streamResponse forwards a response that is longer than the buffer.
-func (x *exchange) streamResponse(u *cataloger.Upstream, t *tracker.Upstream, a *sender.Answer, b []byte, n int) {
+func (x *exchange) streamResponse(u *cataloger.Upstream, t *tracker.Upstream, a *sender.Response, b []byte, n int) {
 	if a.Length >= 0 {
 		x.w.Header().Set("Content-Length", strconv.FormatInt(a.Length, 10))
 	}
@@ -143,7 +143,7 @@
 }
 
 // copyHeader copies the end-to-end header fields of a response.
-func (x *exchange) copyHeader(a *sender.Answer) {
+func (x *exchange) copyHeader(a *sender.Response) {
 	h := x.w.Header()
 	forwarder.RemoveHop(a.Header)
 	for n, v := range a.Header {
@@ -217,7 +217,7 @@
 }
 
 // drainResponse reads the rest of a short response so that its connection can be reused.
-func drainResponse(a *sender.Answer) {
+func drainResponse(a *sender.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(a, framer.ChunkBytes))
 }
 
--- a/internal/request/dispatcher/choose.go
+++ b/internal/request/dispatcher/choose.go
@@ -101,7 +101,7 @@
 // only for the upstream that the request is sent to: requests that merely consider a cold
 // upstream must not use up its room.
 func (x *exchange) acquireWarmupRoom(u *cataloger.Upstream) bool {
-	return !u.Cold(x.d.Clock.Now()) || x.d.AcquireWarmupRoom != nil && x.d.AcquireWarmupRoom(u, x.d.Upstreams.Of(u))
+	return !u.Cold(x.d.Clock.Now()) || x.d.AcquireWarmupRoom != nil && x.d.AcquireWarmupRoom(u, x.d.Upstreams.StateOf(u))
 }
 
 // pickCandidate chooses among the candidates and moves the key if that is the choice. The rate
@@ -169,7 +169,7 @@
 }
 
 func (x *exchange) state(u *cataloger.Upstream) placer.State {
-	t := x.d.Upstreams.Of(u)
+	t := x.d.Upstreams.StateOf(u)
 	s := t.State(u)
 	s.Attempted = slices.Contains(x.attempted, u.Incarnation()) && !x.refusedWithCapacity(u, s) || x.failedToDial(u)
 	if !s.Attempted && u.Cold(x.d.Clock.Now()) {
--- a/internal/request/dispatcher/quarantine.go
+++ b/internal/request/dispatcher/quarantine.go
@@ -82,7 +82,7 @@
 
 // clearSuspect clears the request of suspicion after a complete response other than a server
 // error.
-func (x *exchange) clearSuspect(a *sender.Answer) {
+func (x *exchange) clearSuspect(a *sender.Response) {
 	if a.Status >= http.StatusInternalServerError || !x.anySuspects() {
 		return
 	}
--- a/internal/request/dispatcher/send.go
+++ b/internal/request/dispatcher/send.go
@@ -35,7 +35,7 @@
 
 // send sends the request to u and reports whether the caller got a response.
 func (x *exchange) send(u *cataloger.Upstream) bool {
-	t := x.d.Upstreams.Of(u)
+	t := x.d.Upstreams.StateOf(u)
 	t.Begin()
 	defer t.End()
 	a, err := t.Pool.Do(x.r.Context(), x.newRequest(u))
@@ -63,7 +63,7 @@
 	if x.r.Context().Err() != nil {
 		return
 	}
-	t.Unreached()
+	t.RecordDialFailure()
 	x.d.Meter.Count("upstream_unreached", x.labels(""))
 }
 
@@ -78,21 +78,21 @@
 	}
 	x.setOrganisation(h)
 	q := &sender.Request{
-		Method:      x.r.Method,
-		Target:      x.r.RequestURI,
-		Host:        x.r.Host,
-		Header:      h,
-		Short:       x.bufferedBody,
-		Stream:      x.streamedBody,
-		Length:      x.bodyLength,
-		EchoField:   x.d.Fields.RequestID,
-		Echo:        x.r.Header.Get(x.d.Fields.RequestID),
-		Until:       time.Now().Add((x.expiresAt - now).Duration()),
-		DialTimeout: min(dialTimeout, max(x.expiresAt-now, 1)),
-		Check:       func() bool { return x.maySendNow(u) },
+		Method:       x.r.Method,
+		Target:       x.r.RequestURI,
+		Host:         x.r.Host,
+		Header:       h,
+		Buffered:     x.bufferedBody,
+		Stream:       x.streamedBody,
+		Length:       x.bodyLength,
+		EchoField:    x.d.Fields.RequestID,
+		Echo:         x.r.Header.Get(x.d.Fields.RequestID),
+		ConnDeadline: time.Now().Add((x.expiresAt - now).Duration()),
+		DialTimeout:  min(dialTimeout, max(x.expiresAt-now, 1)),
+		Check:        func() bool { return x.maySendNow(u) },
 	}
 	if !x.route.Kind.Retryable() {
-		q.Young = maxIdleForOnce
+		q.MaxIdle = maxIdleForOnce
 	}
 	return q
 }
@@ -119,12 +119,12 @@
 		x.decision.Reason = "caller left"
 		return false
 	}
-	t.Lost()
+	t.RecordLoss()
 	switch {
 	case errors.Is(err, sender.ErrTimeout):
 		x.decision.Reason = "no answer in time"
-	case errors.Is(err, sender.ErrSilent):
-		t.Unreached()
+	case errors.Is(err, sender.ErrUnacknowledged):
+		t.RecordDialFailure()
 		x.decision.Reason = "upstream silent"
 	case errors.Is(err, sender.ErrMalformed):
 		x.decision.Reason = "malformed answer"
@@ -137,10 +137,10 @@
 }
 
 // recordLoad records the load that the upstream reports in a response.
-func (x *exchange) recordLoad(t *tracker.Upstream, a *sender.Answer) {
+func (x *exchange) recordLoad(t *tracker.Upstream, a *sender.Response) {
 	if v := a.Header.Get(x.d.Fields.Load); v != "" && x.d.ParseLoad != nil {
 		if r, ok := x.d.ParseLoad(v); ok {
-			t.Note(r)
+			t.RecordLoad(r)
 		}
 	}
 }
--- a/internal/request/dispatcher/without_test.go
+++ b/internal/request/dispatcher/without_test.go
@@ -131,7 +131,7 @@
 		if u.Hash() == all[0].Upstream {
 			r.Waiting = 20
 		}
-		s.Upstreams.Of(u).Note(r)
+		s.Upstreams.StateOf(u).RecordLoad(r)
 	}
 	answered.Store(0)
 	s.do(http.MethodGet, "second", nil)
