--- a/internal/process/commander/client.go
+++ b/internal/process/commander/client.go
@@ -238,7 +238,7 @@
 
 // responseError converts the response to a failed call to an error.
 func responseError(status int, data []byte) error {
-	var e operator.ErrorAnswer
+	var e operator.ErrorResponse
 	if err := json.Unmarshal(data, &e); err != nil || e.Failure == "" {
 		code := ExitFailed
 		if status < http.StatusInternalServerError {
@@ -262,7 +262,7 @@
 	return commandError{ExitInput, e.Text}
 }
 
-func conflictText(e operator.ErrorAnswer) string {
+func conflictText(e operator.ErrorResponse) string {
 	t := e.Theirs
 	if t == nil {
 		return "not done: " + e.Text
--- a/internal/process/commander/lost_test.go
+++ b/internal/process/commander/lost_test.go
@@ -21,13 +21,13 @@
 	for _, c := range []struct {
 		name     string
 		status   int
-		response operator.ErrorAnswer
+		response operator.ErrorResponse
 		exitCode int
 	}{
-		{"Unsafe", http.StatusUnprocessableEntity, operator.ErrorAnswer{Failure: operator.FailureUnsafe}, commander.ExitUnknown},
-		{"Input", http.StatusBadRequest, operator.ErrorAnswer{Failure: operator.FailureInput}, commander.ExitUnknown},
-		{"NotAllowed", http.StatusForbidden, operator.ErrorAnswer{}, commander.ExitUnknown},
-		{"Conflict", http.StatusConflict, operator.ErrorAnswer{Failure: operator.FailureConflict, Theirs: &recorder.Change{}}, commander.ExitConflict},
+		{"Unsafe", http.StatusUnprocessableEntity, operator.ErrorResponse{Failure: operator.FailureUnsafe}, commander.ExitUnknown},
+		{"Input", http.StatusBadRequest, operator.ErrorResponse{Failure: operator.FailureInput}, commander.ExitUnknown},
+		{"NotAllowed", http.StatusForbidden, operator.ErrorResponse{}, commander.ExitUnknown},
+		{"Conflict", http.StatusConflict, operator.ErrorResponse{Failure: operator.FailureConflict, Theirs: &recorder.Change{}}, commander.ExitConflict},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/process/commander/root.go
+++ b/internal/process/commander/root.go
@@ -159,7 +159,7 @@
 			if err != nil {
 				return commandError{ExitInput, err.Error()}
 			}
-			var response operator.BlocksAnswer
+			var response operator.BlocksResponse
 			if err := cl.postBlocks(ctx, args[0], text, &response); err != nil {
 				return err
 			}
--- a/internal/process/commander/settings.go
+++ b/internal/process/commander/settings.go
@@ -71,7 +71,7 @@
 }
 
 func (a *app) showTOML(ctx context.Context, cl *client) error {
-	var t operator.TOMLAnswer
+	var t operator.TOMLResponse
 	if err := cl.get(ctx, operator.PathTOML, &t); err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 }
 
 func (a *app) showPath(ctx context.Context, cl *client, path string) error {
-	var s operator.SettingsAnswer
+	var s operator.SettingsResponse
 	if err := cl.get(ctx, operator.PathSettings+"?Path="+url.QueryEscape(path), &s); err != nil {
 		return err
 	}
@@ -220,7 +220,7 @@
 		Short: "Show the last changes: number, who, when, what, why",
 		Args:  cobra.NoArgs,
 		RunE: withClient(func(ctx context.Context, cl *client, _ []string) error {
-			var now operator.SettingsAnswer
+			var now operator.SettingsResponse
 			if err := cl.get(ctx, operator.PathSettings, &now); err != nil {
 				return err
 			}
@@ -228,7 +228,7 @@
 			if n := uint64(now.Number); n > uint64(last) {
 				after = n - uint64(last)
 			}
-			var l operator.LogAnswer
+			var l operator.LogResponse
 			if err := cl.get(ctx, operator.PathLog+"?After="+strconv.FormatUint(after, 10), &l); err != nil {
 				return err
 			}
@@ -351,7 +351,7 @@
 func (c *client) awaitInForce(ctx context.Context, n recorder.Number) (inForce, members int) {
 	end := time.Now().Add(inForceTimeout)
 	for {
-		var f operator.InForceAnswer
+		var f operator.InForceResponse
 		err := c.get(ctx, fmt.Sprintf("%s?Number=%d", operator.PathInForce, n), &f)
 		if err == nil {
 			inForce, members = f.InForce, f.Members
--- a/internal/process/operator/api.go
+++ b/internal/process/operator/api.go
@@ -39,8 +39,8 @@
 	// Failure classifies why a call failed.
 	Failure string
 
-	// ErrorAnswer is the response to a call that failed.
-	ErrorAnswer struct {
+	// ErrorResponse is the response to a call that failed.
+	ErrorResponse struct {
 		Failure  Failure
 		Text     string
 		Problems parser.Problems `json:",omitempty"`
@@ -48,8 +48,8 @@
 		Theirs *recorder.Change `json:",omitempty"`
 	}
 
-	// SettingsAnswer holds the settings in force at a path.
-	SettingsAnswer struct {
+	// SettingsResponse holds the settings in force at a path.
+	SettingsResponse struct {
 		Number recorder.Number
 		Path   string
 		Values []resolver.Source
@@ -57,14 +57,14 @@
 		Beneath []resolver.Edit `json:",omitempty"`
 	}
 
-	// TOMLAnswer holds the whole tree of settings as TOML.
-	TOMLAnswer struct {
+	// TOMLResponse holds the whole tree of settings as TOML.
+	TOMLResponse struct {
 		Number recorder.Number
 		Text   string
 	}
 
-	// LogAnswer holds a part of the change log.
-	LogAnswer struct {
+	// LogResponse holds a part of the change log.
+	LogResponse struct {
 		Changes []recorder.Change
 	}
 
@@ -93,15 +93,15 @@
 		Predicted []planner.Use `json:",omitempty"`
 	}
 
-	// InForceAnswer holds the number of daemons on which a change is in force.
-	InForceAnswer struct {
+	// InForceResponse holds the number of daemons on which a change is in force.
+	InForceResponse struct {
 		Number  recorder.Number
 		InForce int
 		Members int
 	}
 
-	// BlocksAnswer describes a stored table of client blocks.
-	BlocksAnswer struct {
+	// BlocksResponse describes a stored table of client blocks.
+	BlocksResponse struct {
 		Name   string
 		Blocks int
 	}
--- a/internal/process/operator/server.go
+++ b/internal/process/operator/server.go
@@ -48,7 +48,7 @@
 		Outlook func(context.Context) (Outlook, error)
 		// InForce counts the daemons on which the settings with a number are in
 		// force.
-		InForce func(context.Context, recorder.Number) (InForceAnswer, error)
+		InForce func(context.Context, recorder.Number) (InForceResponse, error)
 		// Healthy reports whether the daemon accepts new requests and, if not, why.
 		Healthy func() (bool, string)
 		// Quarantine tracks requests that crash upstreams.
@@ -103,7 +103,7 @@
 	return rest.Route{Method: method, Path: path, Handler: func(w http.ResponseWriter, r *http.Request) {
 		o := s.identify(r)
 		if o.role < required {
-			writeJSON(w, http.StatusForbidden, ErrorAnswer{Failure: FailureForbidden, Text: s.denialText(o, required)})
+			writeJSON(w, http.StatusForbidden, ErrorResponse{Failure: FailureForbidden, Text: s.denialText(o, required)})
 			return
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, maxRequestBytes)
@@ -156,12 +156,12 @@
 	t, n := s.Applier.State()
 	beneath := t.Beneath(p)
 	beneath = slices.DeleteFunc(beneath, func(e resolver.Edit) bool { return e.Path == p.String() })
-	return SettingsAnswer{Number: n, Path: p.String(), Values: t.Explain(p), Beneath: beneath}, nil
+	return SettingsResponse{Number: n, Path: p.String(), Values: t.Explain(p), Beneath: beneath}, nil
 }
 
 func (s *Server) toml(context.Context, identity, *http.Request) (any, error) {
 	t, n := s.Applier.State()
-	return TOMLAnswer{Number: n, Text: t.TOML()}, nil
+	return TOMLResponse{Number: n, Text: t.TOML()}, nil
 }
 
 func (s *Server) log(ctx context.Context, _ identity, r *http.Request) (any, error) {
@@ -174,7 +174,7 @@
 		// During an outage of the platform, return the changes retained locally.
 		changes = s.Applier.History(after)
 	}
-	return LogAnswer{Changes: changes}, nil
+	return LogResponse{Changes: changes}, nil
 }
 
 func (s *Server) inForce(ctx context.Context, _ identity, r *http.Request) (any, error) {
@@ -275,7 +275,7 @@
 	if _, err := locator.Save(ctx, s.Store, name, strings.NewReader(string(text))); err != nil {
 		return nil, err
 	}
-	return BlocksAnswer{Name: name, Blocks: table.Len()}, nil
+	return BlocksResponse{Name: name, Blocks: table.Len()}, nil
 }
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
@@ -300,12 +300,12 @@
 }
 
 // errorResponse returns the HTTP status and response for an error.
-func errorResponse(err error) (int, ErrorAnswer) {
+func errorResponse(err error) (int, ErrorResponse) {
 	var problems parser.Problems
 	var unsafe *changer.OverloadError
 	var conflict *recorder.ConflictError
 	var input inputError
-	e := ErrorAnswer{Text: err.Error()}
+	e := ErrorResponse{Text: err.Error()}
 	switch {
 	case errors.As(err, &conflict):
 		e.Failure = FailureConflict
--- a/internal/process/runner/status.go
+++ b/internal/process/runner/status.go
@@ -41,8 +41,8 @@
 	return len(s.View.Members())
 }
 
-func (d *Daemon) inForce(ctx context.Context, n recorder.Number) (operator.InForceAnswer, error) {
-	a := operator.InForceAnswer{Number: n, Members: d.memberCount()}
+func (d *Daemon) inForce(ctx context.Context, n recorder.Number) (operator.InForceResponse, error) {
+	a := operator.InForceResponse{Number: n, Members: d.memberCount()}
 	all, err := d.summaries(ctx)
 	if err != nil {
 		return a, err
--- a/internal/standin/demonstrator/operator.go
+++ b/internal/standin/demonstrator/operator.go
@@ -67,7 +67,7 @@
 		return 0, err
 	}
 	for {
-		var a operator.InForceAnswer
+		var a operator.InForceResponse
 		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, number)
 		if err := c.call(ctx, http.MethodGet, path, nil, &a); err != nil {
 			return 0, err
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -196,7 +196,7 @@
 		}, &accepted) == http.StatusOK
 	})
 	eventually(d.t, "the change is in force", func() bool {
-		var status operator.InForceAnswer
+		var status operator.InForceResponse
 		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, accepted.Number)
 		return d.callOperator(http.MethodGet, path, nil, &status) == http.StatusOK && status.Members == members && status.InForce == members
 	})
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -332,7 +332,7 @@
 	var accepted operator.ChangeAnswer
 	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{TOML: text}, &accepted), http.StatusOK)
 	eventually(d.t, "settings are in force on all members", func() bool {
-		var status operator.InForceAnswer
+		var status operator.InForceResponse
 		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, accepted.Number)
 		return d.callOperator(http.MethodGet, path, nil, &status) == http.StatusOK && status.Members == members && status.InForce == members
 	})
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -270,7 +270,7 @@
 						Edits: []resolver.Edit{{Path: "/", Key: resolver.KeySlots, Value: resolver.Value(fmt.Sprint(i%7 + 1))}},
 					}, &accepted)
 					for {
-						var status operator.InForceAnswer
+						var status operator.InForceResponse
 						all[i%n].callOperator(http.MethodGet, fmt.Sprintf("%s?Number=%d", operator.PathInForce, accepted.Number), nil, &status)
 						if status.InForce == n {
 							break
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -147,10 +147,10 @@
 	d1 := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 	d2 := startDaemon(t, daemonOptions{name: "erie-2", region: "erie", domain: "a", platform: address})
 	d1.applySettings(2, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
-	changeBoth := func(keys [2]resolver.Key, values [2]resolver.Value) (codes [2]int, failures [2]operator.ErrorAnswer) {
+	changeBoth := func(keys [2]resolver.Key, values [2]resolver.Value) (codes [2]int, failures [2]operator.ErrorResponse) {
 		var wg sync.WaitGroup
 		for i, d := range []*daemon{d1, d2} {
-			var current operator.SettingsAnswer
+			var current operator.SettingsResponse
 			is.Equal(d1.callOperator(http.MethodGet, operator.PathSettings, nil, &current), http.StatusOK)
 			wg.Add(1)
 			go func() {
@@ -192,7 +192,7 @@
 	var again operator.ChangeAnswer
 	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{ID: "mine", Edits: edits}, &again), http.StatusOK)
 	is.Equal(again.Number, accepted.Number)
-	var log operator.LogAnswer
+	var log operator.LogResponse
 	is.Equal(d.callOperator(http.MethodGet, operator.PathLog, nil, &log), http.StatusOK)
 	is.Equal(len(log.Changes), 2)
 }
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -145,7 +145,7 @@
 	if c.paused[i] {
 		return
 	}
-	var e operator.ErrorAnswer
+	var e operator.ErrorResponse
 	code := c.daemons[i].callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{
 		Edits: []resolver.Edit{{Path: "/", Key: resolver.KeyQueueLength, Value: resolver.Value(fmt.Sprint(60 + c.random.IntN(1000)))}},
 	}, &e)
