--- a/internal/process/follower/follow.go
+++ b/internal/process/follower/follow.go
@@ -103,7 +103,7 @@
 		Fields:      Fields,
 		ReadyPath:   readyPath,
 		MetricsPath: metricsPath,
-		StopWithin:  o.StopWithin,
+		StopTimeout: o.StopWithin,
 		Self:        o.Name,
 		Members:     func() []heartbeater.Member { return self },
 		Homes:       &assigner.Assigner{Region: o.Site.Region(), Regions: t.Regions(), Without: o.Without},
@@ -204,7 +204,7 @@
 		return
 	}
 	t.Fill(&f.front.Catalog, f.clock.Now())
-	f.front.SetHomed()
-	f.front.SetListed()
+	f.front.SetHomesKnown()
+	f.front.SetUpstreamsKnown()
 	log.Info("configuration in force")
 }
--- a/internal/process/fronter/fronter.go
+++ b/internal/process/fronter/fronter.go
@@ -58,7 +58,7 @@
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 
-	// stopReserve is the part of StopWithin that is reserved for closing listeners
+	// stopReserve is the part of StopTimeout that is reserved for closing listeners
 	// and flushing logs.
 	stopReserve = 300 * timekeeper.Millis(1)
 
@@ -79,15 +79,15 @@
 
 		Fields    dispatcher.Fields
 		ParseLoad func(string) (tracker.Report, bool)
-		// LookUp serves lookups on the Directory listener.
-		LookUp http.Handler
+		// Lookup serves lookups on the Directory listener.
+		Lookup http.Handler
 		// ReadyPath and MetricsPath are the paths served on the Ready and Metrics
 		// listeners.
 		ReadyPath   string
 		MetricsPath string
 
-		// StopWithin is the time the process has to exit once Leave is called.
-		StopWithin timekeeper.Millis
+		// StopTimeout is the time the process has to exit once Leave is called.
+		StopTimeout timekeeper.Millis
 
 		// Self is the name of this member.
 		Self string
@@ -95,12 +95,12 @@
 		Site registrar.Site
 		// Members returns the live members.
 		Members func() []heartbeater.Member
-		// Behind returns for how long a change that may concern the configuration has
+		// ConfigLag returns for how long a change that may concern the configuration has
 		// been announced but not read. Nil means that no such change is ever pending.
-		Behind func() timekeeper.Millis
-		// Uncertain reports whether revocations of API keys have gone unconfirmed for
+		ConfigLag func() timekeeper.Millis
+		// KeysUnconfirmed reports whether revocations of API keys have gone unconfirmed for
 		// too long. Nil means never.
-		Uncertain func() bool
+		KeysUnconfirmed func() bool
 		// Bounds returns the limits that all members share.
 		Bounds func() Bounds
 		// Ended is called when another incarnation answers at the address of an
@@ -114,8 +114,8 @@
 		Limits *limiter.Limiter
 		// Without lists the disabled mechanisms.
 		Without switcher.Set
-		// Changed is called when the entry becomes ready. It may be nil.
-		Changed func()
+		// OnReady is called when the entry becomes ready. It may be nil.
+		OnReady func()
 
 		Log *logrus.Logger
 	}
@@ -152,8 +152,8 @@
 	f.upstreams = &tracker.Set{Dial: dial, Counter: f.byteCounter}
 	f.dispatcher = &dispatcher.Dispatcher{
 		Config:            f.Config,
-		ConfigLag:         o.Behind,
-		KeysUnconfirmed:   o.Uncertain,
+		ConfigLag:         o.ConfigLag,
+		KeysUnconfirmed:   o.KeysUnconfirmed,
 		Catalog:           f.Catalog.Current,
 		Upstreams:         f.upstreams,
 		Fields:            o.Fields,
@@ -167,7 +167,7 @@
 		Retries: &dispatcher.Retries{
 			Limits: f.retryLimits,
 		},
-		StopsAt:      f.LeavingAt,
+		StopsAt:      f.StopsAt,
 		AwaitReady:   f.awaitStartup,
 		PipelineWait: pipeliner.Waited,
 		OnDecision:   f.logDecision,
@@ -178,9 +178,9 @@
 	return f
 }
 
-// MarkEnded records another VM's report that an incarnation has terminated, so that it gets
+// MarkTerminated records another VM's report that an incarnation has terminated, so that it gets
 // no more requests.
-func (f *Fronter) MarkEnded(i cataloger.Incarnation) {
+func (f *Fronter) MarkTerminated(i cataloger.Incarnation) {
 	if u, known := f.Catalog.Known(i.ID); known && u.Born == i.Born {
 		f.upstreams.StateOf(&u).MarkReplaced()
 	}
@@ -209,11 +209,11 @@
 
 // Ready reports whether the entry serves callers: it has started and is not leaving.
 func (f *Fronter) Ready() bool {
-	return f.started() && f.LeavingAt() == 0
+	return f.started() && f.StopsAt() == 0
 }
 
-// LeavingAt returns the stop deadline, or 0 if the entry is not leaving.
-func (f *Fronter) LeavingAt() timekeeper.Millis {
+// StopsAt returns the stop deadline, or 0 if the entry is not leaving.
+func (f *Fronter) StopsAt() timekeeper.Millis {
 	return timekeeper.Millis(f.stopsAt.Load())
 }
 
@@ -257,7 +257,7 @@
 		handler http.Handler
 	}{
 		{f.options.Ready, f.readyHandler()},
-		{f.options.Directory, f.options.LookUp},
+		{f.options.Directory, f.options.Lookup},
 		{f.options.Metrics, f.metricsHandler()},
 	}
 	for _, o := range others {
@@ -282,7 +282,7 @@
 // still use its address to go elsewhere.
 func (f *Fronter) Leave() {
 	began := f.clock.Now()
-	end := began + f.options.StopWithin - stopReserve
+	end := began + f.options.StopTimeout - stopReserve
 	f.stopsAt.Store(int64(end))
 	f.options.Log.WithFields(logrus.Fields{"active": f.dispatcher.Active(), "endsIn": end - began}).Info("leaving")
 }
@@ -290,7 +290,7 @@
 // Stop shuts down an entry after Leave. It serves requests until shortly before the stop
 // deadline, then closes the listeners and waits for the requests in flight.
 func (f *Fronter) Stop() {
-	end := f.LeavingAt()
+	end := f.StopsAt()
 	time.Sleep(max(end-listenerCloseTimeout-f.clock.Now(), 0).Duration())
 	f.closeListeners(end)
 	f.cancel()
@@ -322,7 +322,7 @@
 	return &pipeliner.Server{
 		Handler:      f.dispatcher,
 		MayOverlap:   f.dispatcher.MayOverlap,
-		Leaving:      func() bool { return f.LeavingAt() != 0 },
+		Leaving:      func() bool { return f.StopsAt() != 0 },
 		HeadTimeout:  func() timekeeper.Millis { return f.limits().HeaderTimeout },
 		IdleTimeout:  func() timekeeper.Millis { return f.limits().IdleTimeout },
 		MaxHeadBytes: maxHeaderBytes,
--- a/internal/process/fronter/start.go
+++ b/internal/process/fronter/start.go
@@ -27,15 +27,15 @@
 	done chan struct{}
 }
 
-// SetListed records that the upstreams are known.
-func (f *Fronter) SetListed() {
+// SetUpstreamsKnown records that the upstreams are known.
+func (f *Fronter) SetUpstreamsKnown() {
 	f.startup.upstreamsKnown.Store(true)
 	f.completeStartup()
 }
 
-// SetHomed records that the homes of keys are known, or that they cannot be known now. A
+// SetHomesKnown records that the homes of keys are known, or that they cannot be known now. A
 // request that is served before that gives its key another home, at three times the work.
-func (f *Fronter) SetHomed() {
+func (f *Fronter) SetHomesKnown() {
 	f.startup.homesKnown.Store(true)
 	f.completeStartup()
 }
@@ -48,8 +48,8 @@
 	}
 	s.once.Do(func() {
 		close(s.done)
-		if f.options.Changed != nil {
-			go f.options.Changed()
+		if f.options.OnReady != nil {
+			go f.options.OnReady()
 		}
 	})
 }
--- a/internal/process/fronter/start_test.go
+++ b/internal/process/fronter/start_test.go
@@ -55,9 +55,9 @@
 	is.NoErr(err)
 	is.True(f.SetConfig(config))
 	is.True(!f.Ready())
-	f.SetListed()
+	f.SetUpstreamsKnown()
 	is.True(!f.Ready()) // homes are missing
-	f.SetHomed()
+	f.SetHomesKnown()
 	is.True(f.Ready())
 	is.Equal(<-status, http.StatusNotFound)
 }
--- a/internal/process/fronter/without_test.go
+++ b/internal/process/fronter/without_test.go
@@ -59,7 +59,7 @@
 	if err != nil || !f.SetConfig(config) {
 		panic("no configuration in force")
 	}
-	f.SetListed()
+	f.SetUpstreamsKnown()
 	return !f.Ready()
 }
 
