--- a/internal/connection/linker/announce.go
+++ b/internal/connection/linker/announce.go
@@ -25,11 +25,11 @@
 	minChangeDivisor = 8
 )
 
-// Announce sends the free slots of a pool to the daemons that hand requests to it and
+// AnnounceFreeSlots sends the free slots of a pool to the daemons that hand requests to it and
 // whose last known value is outdated: the daemons of its site, and others that sent
 // requests within announceWindow. It reports false if the rate limit was reached before
 // all were notified; the caller must then call it again later.
-func (m *Manager) Announce(k pooler.Key, free, slots int) bool {
+func (m *Manager) AnnounceFreeSlots(k pooler.Key, free, slots int) bool {
 	since := m.Clock.Now() - announceWindow
 	for _, s := range m.AcceptedSessions() {
 		if s.remote.Site != k.Site && !s.carriedDirectSince(since) || s.announcementCurrent(k, free, slots) {
@@ -38,7 +38,7 @@
 		if !m.allowAnnouncement() {
 			return false
 		}
-		m.Tell(s, k, free, slots)
+		m.SendFreeSlots(s, k, free, slots)
 	}
 	return true
 }
@@ -52,8 +52,8 @@
 	return m.announceLimiter.AllowN(m.Clock.Now().Time(), announcementBytes)
 }
 
-// Tell sends the free slots of a pool over one session.
-func (m *Manager) Tell(s *Session, k pooler.Key, free, slots int) {
+// SendFreeSlots sends the free slots of a pool over one session.
+func (m *Manager) SendFreeSlots(s *Session, k pooler.Key, free, slots int) {
 	s.recordAnnounced(k, free)
 	m.sendOrClose(s, framer.KindFree, &framer.Free{
 		Service: string(k.Service),
--- a/internal/connection/linker/link_test.go
+++ b/internal/connection/linker/link_test.go
@@ -48,7 +48,7 @@
 		Serve: func(context.Context, *exchanger.Call, bool) exchanger.Result {
 			return exchanger.Result{Outcome: exchanger.Answered, Whole: true, Upstream: "u"}
 		},
-		FreeOf: func(pooler.Key) (int, int) { return 5, 12 },
+		FreeSlots: func(pooler.Key) (int, int) { return 5, 12 },
 	}
 	go to.Accept(ctx, l)
 	p = from.Peer(ctx, member)
@@ -72,19 +72,19 @@
 	refusing := registrar.Member{Incarnation: "a", Site: "erie/a", Links: "127.0.0.1:1"}
 	back := to.Peer(context.Background(), refusing)
 	is.True(back.Await(context.Background()))
-	is.True(back.Prompt())
-	is.True(!back.Gone())
+	is.True(back.Responsive())
+	is.True(!back.Terminated())
 	r := back.Run(context.Background(), call(), true)
 	is.Equal(r.Outcome, exchanger.Answered)
 	is.Equal(r.Upstream, "v")
 	is.Equal(dialled.Run(context.Background(), call(), false).Upstream, "u")
 
-	from.Keep(func(registrar.Incarnation, time.Duration) bool { return false })
+	from.RetainPeers(func(registrar.Incarnation, time.Duration) bool { return false })
 	for back.Up() {
 		time.Sleep(time.Millisecond)
 	}
 	is.Equal(back.Run(context.Background(), call(), true).Reason, exchanger.ReasonLinkUnreachable)
-	is.True(to.Keep(func(registrar.Incarnation, time.Duration) bool { return false }) > 0)
+	is.True(to.RetainPeers(func(registrar.Incarnation, time.Duration) bool { return false }) > 0)
 }
 
 func call() *exchanger.Call {
@@ -104,14 +104,14 @@
 	frames := to.Counters().Frames.Load()
 	r := p.Run(context.Background(), call(), false)
 	is.Equal(r.Outcome, exchanger.Answered)
-	free, slots := p.Free(pool)
+	free, slots := p.FreeSlots(pool)
 	is.Equal(free, 5)
 	is.Equal(slots, 12)
 	is.Equal(to.Counters().Frames.Load(), frames)
 	// A value that the sender already has is not announced; one far from it is.
-	is.True(to.Announce(pool, 5, 12))
+	is.True(to.AnnounceFreeSlots(pool, 5, 12))
 	is.Equal(to.Counters().Frames.Load(), frames)
-	is.True(to.Announce(pool, 0, 12))
+	is.True(to.AnnounceFreeSlots(pool, 0, 12))
 	is.Equal(to.Counters().Frames.Load(), frames+1)
 }
 
@@ -124,14 +124,14 @@
 	before := to.Counters().ControlOut.Load()
 	refused := 0
 	for i := range 2000 {
-		if !to.Announce(pool, 12*(i%2), 12) {
+		if !to.AnnounceFreeSlots(pool, 12*(i%2), 12) {
 			refused++
 		}
 	}
 	is.True(refused > 900)
 	is.True(to.Counters().ControlOut.Load()-before <= 5<<10)
 	s.now.Add(1000)
-	announced := to.Announce(pool, 0, 12) && to.Announce(pool, 12, 12)
+	announced := to.AnnounceFreeSlots(pool, 0, 12) && to.AnnounceFreeSlots(pool, 12, 12)
 	is.True(announced)
 }
 
@@ -147,7 +147,7 @@
 	for from.Counters().Pings.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	is.True(p.Prompt())
+	is.True(p.Responsive())
 }
 
 // TestShortAnswersAreWhole closes the link in the middle of a response. No part of a
--- a/internal/connection/linker/manager.go
+++ b/internal/connection/linker/manager.go
@@ -42,9 +42,9 @@
 		// Pace blocks until a chunk of a response may be sent to another daemon.
 		// Nil means no pacing.
 		Pace func(ctx context.Context, to registrar.Member, c *exchanger.Call, bytes int) error
-		// FreeOf returns the free and total slots of a pool owned here. They are
+		// FreeSlots returns the free and total slots of a pool owned here. They are
 		// sent in the End frame of each request.
-		FreeOf func(pooler.Key) (free, slots int)
+		FreeSlots func(pooler.Key) (free, slots int)
 
 		counters Counters
 
@@ -150,16 +150,16 @@
 	return p
 }
 
-// Known returns the link to a member, whether it is up or not, or nil if there is none.
-func (m *Manager) Known(i registrar.Incarnation) *Peer {
+// ExistingPeer returns the link to a member, whether it is up or not, or nil if there is none.
+func (m *Manager) ExistingPeer(i registrar.Incarnation) *Peer {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.peers[i]
 }
 
-// Keep closes the links to members for which keep returns false, and returns their
+// RetainPeers closes the links to members for which keep returns false, and returns their
 // number. idle is the time since a request was last sent over the link.
-func (m *Manager) Keep(keep func(i registrar.Incarnation, idle time.Duration) bool) int {
+func (m *Manager) RetainPeers(keep func(i registrar.Incarnation, idle time.Duration) bool) int {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	now := m.Clock.Now()
--- a/internal/connection/linker/peer.go
+++ b/internal/connection/linker/peer.go
@@ -71,9 +71,9 @@
 	return p.current() != nil
 }
 
-// Gone reports whether the last dial showed that the member terminated: nothing listens
+// Terminated reports whether the last dial showed that the member terminated: nothing listens
 // at its address, or another incarnation does. It is false while a session is live.
-func (p *Peer) Gone() bool {
+func (p *Peer) Terminated() bool {
 	return p.terminated.Load() && !p.Up()
 }
 
@@ -147,9 +147,9 @@
 	return true
 }
 
-// Free returns the free and total slots of a pool as last known here, zeros if unknown.
+// FreeSlots returns the free and total slots of a pool as last known here, zeros if unknown.
 // free is negative if requests wait.
-func (p *Peer) Free(k pooler.Key) (free, slots int) {
+func (p *Peer) FreeSlots(k pooler.Key) (free, slots int) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	f := p.free[k]
--- a/internal/connection/linker/ping.go
+++ b/internal/connection/linker/ping.go
@@ -27,9 +27,9 @@
 	idlePingInterval = 5 * timekeeper.Second
 )
 
-// Prompt reports whether the remote end responds in time. A stalled process keeps its
+// Responsive reports whether the remote end responds in time. A stalled process keeps its
 // connections open, but a request sent to it may run much later or never.
-func (p *Peer) Prompt() bool {
+func (p *Peer) Responsive() bool {
 	s := p.current()
 	return s != nil && s.responsive(p.manager.Clock.Now())
 }
--- a/internal/connection/linker/serve.go
+++ b/internal/connection/linker/serve.go
@@ -75,10 +75,10 @@
 
 // addFreeSlots adds the free slots of the pool to the End frame of a request.
 func (m *Manager) addFreeSlots(s *Session, k pooler.Key, end *framer.End) {
-	if m.FreeOf == nil {
+	if m.FreeSlots == nil {
 		return
 	}
-	free, slots := m.FreeOf(k)
+	free, slots := m.FreeSlots(k)
 	end.Free = int32(free)
 	end.Slots = uint32(slots)
 	s.recordAnnounced(k, free)
--- a/internal/connection/router/router.go
+++ b/internal/connection/router/router.go
@@ -30,9 +30,9 @@
 		Routes []rest.Route
 		// Fallback serves requests that match no route. Nil responds with 404.
 		Fallback http.Handler
-		// Direct reports whether a request goes to the fallback even if a route
+		// BypassRoutes reports whether a request goes to the fallback even if a route
 		// matches it. Nil means that none does.
-		Direct func(*http.Request) bool
+		BypassRoutes func(*http.Request) bool
 	}
 )
 
@@ -42,7 +42,7 @@
 		routes:       map[routeKey]http.Handler{},
 		paths:        map[string]bool{},
 		fallback:     o.Fallback,
-		bypassRoutes: o.Direct,
+		bypassRoutes: o.BypassRoutes,
 	}
 	if r.fallback == nil {
 		r.fallback = http.NotFoundHandler()
--- a/internal/process/runner/control.go
+++ b/internal/process/runner/control.go
@@ -175,7 +175,7 @@
 	}
 	for k := range d.owner.Pools() {
 		free, slots := d.owner.Free(k)
-		d.links.Tell(s, k, free, slots)
+		d.links.SendFreeSlots(s, k, free, slots)
 	}
 }
 
@@ -244,7 +244,7 @@
 		pause := announceInterval
 		for k := range a.takeDirty() {
 			free, slots := o.Free(k)
-			if !m.Announce(k, free, slots) {
+			if !m.AnnounceFreeSlots(k, free, slots) {
 				a.markDirty(k)
 				pause = announceRetryDelay
 			}
--- a/internal/process/runner/daemon.go
+++ b/internal/process/runner/daemon.go
@@ -294,7 +294,7 @@
 	}
 	d.owner.Admit = d.forwarder.RefuseQuarantined
 	d.links.Serve = d.forwarder.RunLinked
-	d.links.FreeOf = d.owner.Free
+	d.links.FreeSlots = d.owner.Free
 	d.links.Pace = d.paceExport
 	d.looker = &looker.Handler{Snapshot: d.snapshot.Load, Meter: d.meter}
 	d.changer = &changer.Changer{
@@ -414,8 +414,8 @@
 			{Method: http.MethodGet, Path: forwarder.PathOutcome, Handler: d.forwarder.ServeOutcome},
 			{Method: http.MethodGet, Path: operator.PathHealth, Handler: d.serveHealth},
 		},
-		Fallback: d.forwarder,
-		Direct:   d.forwarder.NamesService,
+		Fallback:     d.forwarder,
+		BypassRoutes: d.forwarder.NamesService,
 	})
 }
 
--- a/internal/process/runner/gauges.go
+++ b/internal/process/runner/gauges.go
@@ -45,7 +45,7 @@
 		d.meter.Gauge(name, measurer.Labels{}, v)
 	}
 	if d.encrypter != nil {
-		left := d.encrypter.Left(d.clock.WallNow())
+		left := d.encrypter.RemainingValidity(d.clock.WallNow())
 		d.meter.Gauge("link_certificate_seconds_left", measurer.Labels{}, left.Duration().Seconds())
 	}
 	d.setPoolGauges(s)
--- a/internal/process/runner/sync.go
+++ b/internal/process/runner/sync.go
@@ -198,7 +198,7 @@
 		return
 	}
 	leaderID := d.joiner.Leader()
-	closed := d.links.Keep(func(i registrar.Incarnation, idle time.Duration) bool {
+	closed := d.links.RetainPeers(func(i registrar.Incarnation, idle time.Duration) bool {
 		m, ok := s.View.Find(i)
 		return i == leaderID || idle < linkIdleTimeout && ok || ok && m.Site == d.self.Site
 	})
--- a/internal/process/runner/unreachable.go
+++ b/internal/process/runner/unreachable.go
@@ -82,7 +82,7 @@
 	}
 	dead := map[registrar.Incarnation]bool{}
 	for _, m := range d.regionPeers() {
-		if p := d.links.Peer(ctx, m); before[m.Incarnation] && !p.Up() && p.Gone() {
+		if p := d.links.Peer(ctx, m); before[m.Incarnation] && !p.Up() && p.Terminated() {
 			dead[m.Incarnation] = true
 		}
 	}
@@ -123,7 +123,7 @@
 			continue
 		}
 		timeout := unreachableTimeout
-		if p.Gone() {
+		if p.Terminated() {
 			timeout = refusedTimeout
 		}
 		if now-since >= timeout {
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -102,11 +102,11 @@
 	}
 	m := registrar.Member{Incarnation: i, Site: site, Links: l.Addr().String()}
 	links := &linker.Manager{
-		Self:   func() registrar.Member { return m },
-		Serve:  func(context.Context, *exchanger.Call, bool) exchanger.Result { return serve() },
-		FreeOf: func(pooler.Key) (int, int) { return 0, 0 },
+		Self:      func() registrar.Member { return m },
+		Serve:     func(context.Context, *exchanger.Call, bool) exchanger.Result { return serve() },
+		FreeSlots: func(pooler.Key) (int, int) { return 0, 0 },
 	}
-	links.Accepted = func(s *linker.Session) { links.Tell(s, pooler.Key{Site: site, Service: service}, 6, 6) }
+	links.Accepted = func(s *linker.Session) { links.SendFreeSlots(s, pooler.Key{Site: site, Service: service}, 6, 6) }
 	go links.Accept(t.Context(), l)
 	return m
 }
@@ -127,7 +127,7 @@
 	f.Links = &linker.Manager{Self: f.Self}
 	for _, m := range []registrar.Member{former, owner} {
 		for slots := 0; slots == 0; {
-			_, slots = f.Links.Peer(t.Context(), m).Free(pooler.Key{Site: site, Service: service})
+			_, slots = f.Links.Peer(t.Context(), m).FreeSlots(pooler.Key{Site: site, Service: service})
 		}
 	}
 	const requests = 100
--- a/internal/request/forwarder/keyed.go
+++ b/internal/request/forwarder/keyed.go
@@ -104,7 +104,7 @@
 	p := f.Links.Peer(f.Base, h)
 	wait, cancel := context.WithTimeout(ctx, linkTimeout.Duration())
 	defer cancel()
-	if !p.Await(wait) || !p.Prompt() {
+	if !p.Await(wait) || !p.Responsive() {
 		return homeLost(c)
 	}
 	r := p.Run(ctx, c, true)
--- a/internal/request/forwarder/route.go
+++ b/internal/request/forwarder/route.go
@@ -210,10 +210,10 @@
 	// Peer dials a missing link, for the benefit of later requests: a daemon without a link to
 	// an owner would never use its slots.
 	p := f.Links.Peer(f.Base, m)
-	if !p.Prompt() {
+	if !p.Responsive() {
 		return candidate{}, false
 	}
-	free, slots := p.Free(k)
+	free, slots := p.FreeSlots(k)
 	return candidate{peer: p, free: free, slots: slots}, slots > 0
 }
 
@@ -228,8 +228,8 @@
 // unresponsive reports whether m is known not to respond: its process has terminated, or the
 // link is up but nothing comes back.
 func (f *Forwarder) unresponsive(m registrar.Member) bool {
-	p := f.Links.Known(m.Incarnation)
-	return p != nil && (p.Gone() || p.Up() && !p.Prompt())
+	p := f.Links.ExistingPeer(m.Incarnation)
+	return p != nil && (p.Terminated() || p.Up() && !p.Responsive())
 }
 
 // chooseRelay picks a random daemon of the site that will choose the owner.
