--- a/internal/process/commander/client.go
+++ b/internal/process/commander/client.go
@@ -218,7 +218,7 @@
 }
 
 func (c *client) call(ctx context.Context, method, address, path string, body []byte, response any) error {
-	daemon := &storer.Client{Address: "http://" + address, Token: c.token, LongestTransfer: maxTransferTime}
+	daemon := &storer.Client{Address: "http://" + address, Token: c.token, MaxTransferTime: maxTransferTime}
 	q, err := daemon.Request(ctx, method, path, body)
 	if err != nil {
 		return commandError{ExitInput, err.Error()}
--- a/internal/process/joiner/joiner.go
+++ b/internal/process/joiner/joiner.go
@@ -195,7 +195,7 @@
 	}
 	_, held := j.Lease.Held()
 	if !held && j.AvoidLeading() {
-		_ = j.Lease.Look(ctx)
+		_ = j.Lease.Refresh(ctx)
 		return leaseCheckInterval
 	}
 	wait := j.Lease.Step(ctx).Duration()
--- a/internal/process/leader/members.go
+++ b/internal/process/leader/members.go
@@ -50,8 +50,8 @@
 		lock   sync.Mutex
 		all    map[registrar.Incarnation]*memberRecord
 		damper Damper
-		// past lists members that left the roster within registrar.History.
-		past []registrar.Past
+		// past lists members that left the roster within registrar.HistoryRetention.
+		past []registrar.FormerMember
 	}
 
 	memberRecord struct {
@@ -174,7 +174,7 @@
 	for i, r := range m.all {
 		if r.terminated || now-r.lastHeartbeat >= MemberTimeout {
 			gone = append(gone, r.member)
-			m.past = append(m.past, registrar.Past{Incarnation: i, SinceMillis: r.since, GoneMillis: wall})
+			m.past = append(m.past, registrar.FormerMember{Incarnation: i, SinceMillis: r.since, GoneMillis: wall})
 			delete(m.all, i)
 			if !r.leaving {
 				m.damper.RecordLoss(r.member.Links, now)
@@ -182,7 +182,7 @@
 		}
 	}
 	m.damper.Prune(now)
-	m.past = slices.DeleteFunc(m.past, func(p registrar.Past) bool { return p.GoneMillis < wall-registrar.History })
+	m.past = slices.DeleteFunc(m.past, func(p registrar.FormerMember) bool { return p.GoneMillis < wall-registrar.HistoryRetention })
 	return gone
 }
 
@@ -211,7 +211,7 @@
 }
 
 // list returns the current and past members as they are written to the roster.
-func (m *members) list() ([]registrar.Member, []registrar.Past) {
+func (m *members) list() ([]registrar.Member, []registrar.FormerMember) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	var out []registrar.Member
--- a/internal/process/leader/plan.go
+++ b/internal/process/leader/plan.go
@@ -92,9 +92,9 @@
 
 // Broken returns the number of broken invariants of both leases.
 func (l *Leader) Broken() uint64 {
-	n := l.Lease.Broken()
+	n := l.Lease.FenceRegressions()
 	if lease := l.planner.Load(); lease != nil {
-		n += lease.Broken()
+		n += lease.FenceRegressions()
 	}
 	return n
 }
--- a/internal/process/leader/summary_test.go
+++ b/internal/process/leader/summary_test.go
@@ -113,7 +113,7 @@
 	p := planner.Plan{Number: 9000, Fence: 12, Settings: 800}
 	for i := range services {
 		for j := range origins {
-			var d sharer.Division
+			var d sharer.Split
 			for k := range 6 {
 				d = append(d, sharer.Part{Site: string(siteAt(j + k)), Share: sharer.FromFraction(r.Float64() / 6)})
 			}
--- a/internal/request/forwarder/keyed.go
+++ b/internal/request/forwarder/keyed.go
@@ -152,7 +152,7 @@
 	}
 	view := f.Snapshot().View
 	now := f.Clock.WallNow()
-	for _, i := range view.Homes(string(key), now-f.Keys.RetentionPeriod(), now) {
+	for _, i := range view.PossibleHomes(string(key), now-f.Keys.RetentionPeriod(), now) {
 		if i == f.Self().Incarnation {
 			continue
 		}
--- a/internal/version/planner/mover.go
+++ b/internal/version/planner/mover.go
@@ -68,7 +68,7 @@
 		// demand is the last complete measurement.
 		demand map[resolver.ServiceName]Demand
 		// target is the target traffic split of each route in this step.
-		target map[routeKey]sharer.Division
+		target map[routeKey]sharer.Split
 	}
 )
 
@@ -130,7 +130,7 @@
 	if m.demand == nil || len(in.Load.Stale) == 0 {
 		m.demand = in.Load.Work
 	}
-	m.target = map[routeKey]sharer.Division{}
+	m.target = map[routeKey]sharer.Split{}
 	for _, service := range in.Settings.Services {
 		for origin, d := range targets(in.Settings, service, m.demand[service], in.Wall, shifts, m.spillover) {
 			m.target[routeKey{service, origin}] = d
@@ -186,7 +186,7 @@
 // step returns the traffic split after one step towards target, or the current one and
 // the reason why it is held back. The reason is empty when the route only has to wait
 // for the interval or for credit.
-func (m *Mover) step(in Input, next *Plan, k routeKey, current, target sharer.Division) (sharer.Division, string) {
+func (m *Mover) step(in Input, next *Plan, k routeKey, current, target sharer.Split) (sharer.Split, string) {
 	if !in.InForce {
 		return current, "the last plan is not in force on all daemons yet"
 	}
@@ -211,7 +211,7 @@
 // overloadReason names a site that would exceed its limit if the route of k changed to
 // the given split, with every other route counted at the larger of its last and next
 // share. It is empty if there is none.
-func overloadReason(in Input, next *Plan, k routeKey, to sharer.Division) string {
+func overloadReason(in Input, next *Plan, k routeKey, to sharer.Split) string {
 	current, _ := in.Last.Route(k.service, k.origin)
 	for _, p := range to {
 		if p.Share <= current.Of(p.Site) {
@@ -233,7 +233,7 @@
 
 // predictedUse returns the slots in use at site while daemons route by any mix of the
 // last plan and the next.
-func predictedUse(in Input, next *Plan, k routeKey, to sharer.Division, site registrar.Site) float64 {
+func predictedUse(in Input, next *Plan, k routeKey, to sharer.Split, site registrar.Site) float64 {
 	var use float64
 	for origin, w := range in.Load.Work[k.service] {
 		current, _ := in.Last.Nearest(k.service, origin)
--- a/internal/version/planner/plan.go
+++ b/internal/version/planner/plan.go
@@ -40,7 +40,7 @@
 	Route struct {
 		Service  resolver.ServiceName
 		Origin   registrar.Site
-		Division sharer.Division
+		Division sharer.Split
 	}
 
 	// Progress is the progress of one shift. It remains after the shift is removed from
@@ -94,7 +94,7 @@
 
 // Route returns the traffic split for a service and origin, and whether the plan
 // contains one.
-func (p Plan) Route(s resolver.ServiceName, origin registrar.Site) (sharer.Division, bool) {
+func (p Plan) Route(s resolver.ServiceName, origin registrar.Site) (sharer.Split, bool) {
 	i, ok := slices.BinarySearchFunc(p.Routes, routeKey{s, origin}, func(r Route, k routeKey) int {
 		return compareKeys(routeKey{r.Service, r.Origin}, k)
 	})
@@ -106,7 +106,7 @@
 
 // Nearest returns the traffic split for a service and origin. For an origin that the
 // plan does not contain, it returns that of another origin in the same region.
-func (p Plan) Nearest(s resolver.ServiceName, origin registrar.Site) (sharer.Division, bool) {
+func (p Plan) Nearest(s resolver.ServiceName, origin registrar.Site) (sharer.Split, bool) {
 	if d, ok := p.Route(s, origin); ok {
 		return d, true
 	}
--- a/internal/version/planner/target.go
+++ b/internal/version/planner/target.go
@@ -53,17 +53,17 @@
 // by region. The zero value is ready for use.
 type Targets struct {
 	capacity weights
-	byRegion map[string]sharer.Division
+	byRegion map[string]sharer.Split
 }
 
 // Split returns the target traffic split of one origin as far as it follows from the
 // settings alone: the sites of its own region in proportion to their capacity, or those
 // of all regions when its own has no capacity. A new deployment routes by it until the
 // first plan exists; shifts start from that plan.
-func (t *Targets) Split(r *resolver.Resolved, service resolver.ServiceName, origin registrar.Site, wall timekeeper.Millis) sharer.Division {
+func (t *Targets) Split(r *resolver.Resolved, service resolver.ServiceName, origin registrar.Site, wall timekeeper.Millis) sharer.Split {
 	if t.capacity == nil {
 		t.capacity = availableCapacity(r, service, wall)
-		t.byRegion = map[string]sharer.Division{}
+		t.byRegion = map[string]sharer.Split{}
 	}
 	d, ok := t.byRegion[origin.Region()]
 	if !ok {
@@ -76,14 +76,14 @@
 // targets returns the target traffic split of every origin, with the shifts at the
 // progress given in shifts. Load beyond the limit of a region spills over to regions
 // with spare capacity; without demand nothing spills over.
-func targets(r *resolver.Resolved, service resolver.ServiceName, d Demand, wall timekeeper.Millis, shifts []Progress, s spillover) map[registrar.Site]sharer.Division {
+func targets(r *resolver.Resolved, service resolver.ServiceName, d Demand, wall timekeeper.Millis, shifts []Progress, s spillover) map[registrar.Site]sharer.Split {
 	available := availableCapacity(r, service, wall)
 	splits := map[registrar.Site]weights{}
 	for _, origin := range r.Sites {
 		splits[origin] = originWeights(available, service, origin, shifts)
 	}
 	applySpillover(regionLoads(r, service, available, splits, d), service, splits, s)
-	out := map[registrar.Site]sharer.Division{}
+	out := map[registrar.Site]sharer.Split{}
 	for origin, w := range splits {
 		out[origin] = sharer.Proportional(w)
 	}
--- a/internal/version/steerer/snapshot.go
+++ b/internal/version/steerer/snapshot.go
@@ -98,7 +98,7 @@
 func (s *Snapshot) addService(service resolver.ServiceName) error {
 	var targets planner.Targets
 	var last *route
-	var lastSplit sharer.Division
+	var lastSplit sharer.Split
 	for _, origin := range origins(s.Settings.Sites) {
 		d, ok := s.Plan.Nearest(service, origin)
 		if !ok {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (s *Snapshot) buildRoute(service resolver.ServiceName, d sharer.Division) (*route, error) {
+func (s *Snapshot) buildRoute(service resolver.ServiceName, d sharer.Split) (*route, error) {
 	r := &route{hash: hasher.OfString(string(service)), chooser: sharer.NewChooser(d)}
 	for _, name := range r.chooser.Sites() {
 		site := registrar.Site(name)
--- a/pkg/leaser/lease.go
+++ b/pkg/leaser/lease.go
@@ -122,10 +122,10 @@
 	return l.term() / renewalsPerTerm
 }
 
-// Broken returns how often the lease was read with a lower fence than before, or
+// FenceRegressions returns how often the lease was read with a lower fence than before, or
 // with the same fence and another holder. Either means that a process wrote the
 // object without holding the lease.
-func (l *Lease) Broken() uint64 {
+func (l *Lease) FenceRegressions() uint64 {
 	return l.fenceRegressions.Load()
 }
 
@@ -149,8 +149,8 @@
 	}
 }
 
-// Look reads the lease without acquiring it.
-func (l *Lease) Look(ctx context.Context) error {
+// Refresh reads the lease without acquiring it.
+func (l *Lease) Refresh(ctx context.Context) error {
 	return l.refresh(ctx)
 }
 
--- a/pkg/leaser/lease_test.go
+++ b/pkg/leaser/lease_test.go
@@ -201,11 +201,11 @@
 	x, y := b.lease("x"), b.lease("y")
 	x.Step(ctx)
 	first, _ := x.Held()
-	is.NoErr(y.Look(ctx))
+	is.NoErr(y.Refresh(ctx))
 	b.now += leaser.DefaultTerm * 2
 	// z acquires the expired lease; y learns only the revision.
 	z := b.lease("z")
-	is.NoErr(z.Look(ctx))
+	is.NoErr(z.Refresh(ctx))
 	b.now += leaser.DefaultTerm * 2
 	z.Step(ctx)
 	second, ok := z.Held()
@@ -220,5 +220,5 @@
 	third, ok := y.Held()
 	is.True(ok)
 	is.Equal(third, second+1)
-	is.Equal(y.Broken(), uint64(0))
+	is.Equal(y.FenceRegressions(), uint64(0))
 }
--- a/pkg/registrar/home.go
+++ b/pkg/registrar/home.go
@@ -29,10 +29,10 @@
 	return OwnerAmong(v.members, key)
 }
 
-// Homes returns the incarnations that any daemon may have chosen as the home of a
+// PossibleHomes returns the incarnations that any daemon may have chosen as the home of a
 // key between two wall times, whichever roster it knew. They may no longer be
 // members.
-func (v *View) Homes(key string, from, to timekeeper.Millis) []Incarnation {
+func (v *View) PossibleHomes(key string, from, to timekeeper.Millis) []Incarnation {
 	h := hasher.OfString(key)
 	all := v.periods(span{from, to})
 	slices.SortFunc(all, func(a, b period) int {
--- a/pkg/registrar/roster.go
+++ b/pkg/registrar/roster.go
@@ -19,8 +19,8 @@
 	// IncarnationDigits is the length of an incarnation in hexadecimal digits.
 	IncarnationDigits = 16
 
-	// History is how long rosters list former members.
-	History = 15 * timekeeper.Minute
+	// HistoryRetention is how long rosters list former members.
+	HistoryRetention = 15 * timekeeper.Minute
 )
 
 type (
@@ -46,8 +46,8 @@
 		SinceMillis timekeeper.Millis
 	}
 
-	// Past is a former member and its membership period in wall time.
-	Past struct {
+	// FormerMember is a former member and its membership period in wall time.
+	FormerMember struct {
 		Incarnation Incarnation
 		SinceMillis timekeeper.Millis
 		GoneMillis  timekeeper.Millis
@@ -59,8 +59,8 @@
 		Fence   leaser.Fence
 		Version uint64
 		Members []Member
-		// Members that were removed within History.
-		Past []Past `json:",omitempty"`
+		// Members that were removed within HistoryRetention.
+		Past []FormerMember `json:",omitempty"`
 	}
 
 	// View combines the rosters of all regions. It is created by NewView and
@@ -70,7 +70,7 @@
 		bySite   map[Site][]Member
 		byRegion map[string][]Member
 		byID     map[Incarnation]Member
-		former   []Past
+		former   []FormerMember
 	}
 )
 
--- a/pkg/sharer/split.go
+++ b/pkg/sharer/split.go
@@ -20,9 +20,9 @@
 		Share Share
 	}
 
-	// Division lists the shares of all sites, ordered by site. They add up to
+	// Split lists the shares of all sites, ordered by site. They add up to
 	// Whole.
-	Division []Part
+	Split []Part
 
 	// Chooser maps keys to the sites of a traffic split. It is created by
 	// NewChooser; the zero value has no sites.
@@ -44,7 +44,7 @@
 }
 
 // Of returns the share of site, or 0 if it has none.
-func (d Division) Of(site string) Share {
+func (d Split) Of(site string) Share {
 	for _, p := range d {
 		if p.Site == site {
 			return p.Share
@@ -54,7 +54,7 @@
 }
 
 // Total returns the sum of the shares of d.
-func (d Division) Total() Share {
+func (d Split) Total() Share {
 	var t Share
 	for _, p := range d {
 		t += p.Share
@@ -65,7 +65,7 @@
 // Proportional splits Whole in proportion to weights, which need not be
 // normalised. The rounding remainder goes to the largest part, so the total is
 // exact. It returns nil if no weight is positive.
-func Proportional[S ~string](weights map[S]float64) Division {
+func Proportional[S ~string](weights map[S]float64) Split {
 	var sum float64
 	for _, w := range weights {
 		sum += max(w, 0)
@@ -73,7 +73,7 @@
 	if sum <= 0 {
 		return nil
 	}
-	var d Division
+	var d Split
 	for s, w := range weights {
 		if w > 0 {
 			d = append(d, Part{Site: string(s), Share: Share(w / sum * float64(Whole))})
@@ -86,7 +86,7 @@
 
 // Distance returns the share that differs between d and e, which is the fraction
 // of keys that must move to get from one to the other.
-func (d Division) Distance(e Division) Share {
+func (d Split) Distance(e Split) Share {
 	var moved Share
 	for _, p := range e {
 		if o := d.Of(p.Site); p.Share > o {
@@ -97,7 +97,7 @@
 }
 
 // Toward returns a traffic split that is closer to target than d by at most step.
-func (d Division) Toward(target Division, step Share) Division {
+func (d Split) Toward(target Split, step Share) Split {
 	distance := d.Distance(target)
 	if distance <= step {
 		return slices.Clone(target)
@@ -112,7 +112,7 @@
 			w[p.Site] = 0
 		}
 	}
-	var out Division
+	var out Split
 	for s, have := range w {
 		gap := float64(target.Of(s)) - float64(have)
 		out = append(out, Part{Site: s, Share: Share(float64(have) + gap*f)})
@@ -123,12 +123,12 @@
 	return out
 }
 
-func (d Division) sort() {
+func (d Split) sort() {
 	slices.SortFunc(d, func(a, b Part) int { return strings.Compare(a.Site, b.Site) })
 }
 
 // assignRemainder adds the remainder of rounding down to the largest part.
-func (d Division) assignRemainder() {
+func (d Split) assignRemainder() {
 	if len(d) == 0 {
 		return
 	}
@@ -142,7 +142,7 @@
 }
 
 // NewChooser returns a Chooser for d.
-func NewChooser(d Division) Chooser {
+func NewChooser(d Split) Chooser {
 	var c Chooser
 	for _, p := range d {
 		if p.Share == 0 {
--- a/pkg/sharer/split_test.go
+++ b/pkg/sharer/split_test.go
@@ -11,7 +11,7 @@
 	"github.com/gullvale/gullvale/pkg/sharer"
 )
 
-func drawSplit(t *rapid.T, label string) sharer.Division {
+func drawSplit(t *rapid.T, label string) sharer.Split {
 	n := rapid.IntRange(1, 8).Draw(t, label+" sites")
 	w := map[string]float64{}
 	for i := range n {
@@ -48,8 +48,8 @@
 func TestMovesOnlyWhatMoves(t *testing.T) {
 	is := is.New(t)
 	const keys = 100000
-	before := sharer.Division{{Site: "a", Share: sharer.Whole / 2}, {Site: "b", Share: sharer.Whole / 4}, {Site: "c", Share: sharer.Whole / 4}}
-	after := sharer.Division{{Site: "a", Share: sharer.Whole / 4}, {Site: "b", Share: sharer.Whole / 2}, {Site: "c", Share: sharer.Whole / 4}}
+	before := sharer.Split{{Site: "a", Share: sharer.Whole / 2}, {Site: "b", Share: sharer.Whole / 4}, {Site: "c", Share: sharer.Whole / 4}}
+	after := sharer.Split{{Site: "a", Share: sharer.Whole / 4}, {Site: "b", Share: sharer.Whole / 2}, {Site: "c", Share: sharer.Whole / 4}}
 	x, y := sharer.NewChooser(before), sharer.NewChooser(after)
 	moved, third := 0, 0
 	counts := map[string]int{}
@@ -85,19 +85,19 @@
 // necessary minimum, when an eighth of all keys moves from the first of six sites to
 // the last. It compares weighted rendezvous hashing with cumulative shares.
 func BenchmarkMoved(b *testing.B) {
-	before := sharer.Division{}
+	before := sharer.Split{}
 	for i := range 6 {
 		before = append(before, sharer.Part{Site: fmt.Sprint("s", i), Share: sharer.Whole / 6})
 	}
 	before[0].Share += sharer.Whole - before.Total()
-	after := append(sharer.Division{}, before...)
+	after := append(sharer.Split{}, before...)
 	eighth := sharer.Whole / 8
 	after[0].Share -= eighth
 	after[5].Share += eighth
 	x, y := sharer.NewChooser(before), sharer.NewChooser(after)
-	for name, choose := range map[string]func(d sharer.Division, c *sharer.Chooser, k hasher.Hash) string{
-		"rendezvous": func(_ sharer.Division, c *sharer.Chooser, k hasher.Hash) string { return c.Choose(k) },
-		"cumulative": func(d sharer.Division, _ *sharer.Chooser, k hasher.Hash) string {
+	for name, choose := range map[string]func(d sharer.Split, c *sharer.Chooser, k hasher.Hash) string{
+		"rendezvous": func(_ sharer.Split, c *sharer.Chooser, k hasher.Hash) string { return c.Choose(k) },
+		"cumulative": func(d sharer.Split, _ *sharer.Chooser, k hasher.Hash) string {
 			at := sharer.Share(k >> 44)
 			for _, p := range d {
 				if at < p.Share {
--- a/pkg/storer/client.go
+++ b/pkg/storer/client.go
@@ -81,14 +81,14 @@
 		Token   string
 		// Timeout bounds the time until a response begins; 0 means DefaultTimeout.
 		Timeout timekeeper.Millis
-		// IdleTimeout bounds the pauses within a response, and LongestTransfer how much
+		// IdleTimeout bounds the pauses within a response, and MaxTransferTime how much
 		// longer than its timeout a call may take in total; 0 means the default.
-		IdleTimeout, LongestTransfer timekeeper.Millis
+		IdleTimeout, MaxTransferTime timekeeper.Millis
 		// Do sends a request; nil means httpc.DoRequest.
 		Do func(*http.Request) (*http.Response, error)
-		// TimedOut is called for each call that timed out: other connections to the
+		// OnTimeout is called for each call that timed out: other connections to the
 		// platform may be dead as well. It may be nil.
-		TimedOut func()
+		OnTimeout func()
 
 		calls Calls
 	}
--- a/pkg/storer/client_test.go
+++ b/pkg/storer/client_test.go
@@ -141,7 +141,7 @@
 	}))
 	defer s.Close()
 	timeouts := 0
-	c := &storer.Client{Address: s.URL, LongestTransfer: 2 * timeout, TimedOut: func() { timeouts++ }}
+	c := &storer.Client{Address: s.URL, MaxTransferTime: 2 * timeout, OnTimeout: func() { timeouts++ }}
 
 	_, err := callWith(t, c, http.MethodGet, nil)
 	var timedOut *storer.TimeoutError
--- a/pkg/storer/outcome.go
+++ b/pkg/storer/outcome.go
@@ -85,8 +85,8 @@
 	if !errors.Is(context.Cause(q.Context()), context.DeadlineExceeded) {
 		return eris.Wrapf(outcome, "%s %s: %v", q.Method, q.URL.Path, err)
 	}
-	if c.TimedOut != nil {
-		c.TimedOut()
+	if c.OnTimeout != nil {
+		c.OnTimeout()
 	}
 	return eris.Wrapf(&TimeoutError{Outcome: outcome, Read: read}, "%s %s", q.Method, q.URL.Path)
 }
--- a/pkg/storer/progress.go
+++ b/pkg/storer/progress.go
@@ -47,7 +47,7 @@
 	p := &progressTimer{
 		cancel:   cancel,
 		deadline: deadline,
-		latest:   deadline.Add(cmp.Or(c.LongestTransfer, defaultMaxTransferTime).Duration()),
+		latest:   deadline.Add(cmp.Or(c.MaxTransferTime, defaultMaxTransferTime).Duration()),
 	}
 	p.timer = time.AfterFunc(timeout.Duration(), p.expire)
 	return ctx, p
