--- a/cmd/gullvale-standin/main.go
+++ b/cmd/gullvale-standin/main.go
@@ -106,7 +106,7 @@
 	f.StringSliceVar(&seeds, "seeds", nil, "callers' listener addresses of some daemons (required)")
 	f.StringVar(&s.Service, "service", "", "service to request (required)")
 	f.Float64Var(&s.Rate, "rate", 10, "requests per second")
-	f.Float64Var(&s.PostPart, "post", 0.3, "fraction of requests that must not run twice")
+	f.Float64Var(&s.PostFraction, "post", 0.3, "fraction of requests that must not run twice")
 	f.Int64Var(&s.Bytes, "bytes", 512, "response length in bytes")
 	f.StringSliceVar(&s.Blocks, "blocks", []string{""}, "client blocks to send from; empty means the caller's own address")
 	f.DurationVar(&duration, "for", 10*time.Second, "how long to keep starting requests")
--- a/internal/process/commander/steer.go
+++ b/internal/process/commander/steer.go
@@ -248,7 +248,7 @@
 			if err := a.show(r, func() { r.Print(a.out) }); err != nil {
 				return err
 			}
-			if r.Broken() {
+			if r.Violated() {
 				return commandError{ExitFailed, "an invariant was broken"}
 			}
 			return nil
@@ -256,7 +256,7 @@
 	}
 	c.Flags().DurationVar(&o.Length, "for", 20*time.Second, "duration of the load")
 	c.Flags().StringVar(&o.Shape, "shape", demonstrator.ShapeKegloop, "kegloop or athath")
-	c.Flags().Float64Var(&o.Load, "load", 0.6, "load, as a fraction of all slots")
+	c.Flags().Float64Var(&o.LoadFraction, "load", 0.6, "load, as a fraction of all slots")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the load")
 	return c
 }
--- a/internal/standin/caller/load.go
+++ b/internal/standin/caller/load.go
@@ -39,8 +39,8 @@
 		Service string
 		// Rate is the mean number of requests per second.
 		Rate float64
-		// PostPart is the fraction of POST requests, which must not run twice.
-		PostPart float64
+		// PostFraction is the fraction of POST requests, which must not run twice.
+		PostFraction float64
 		// Bytes is the length of a response.
 		Bytes int64
 		// Deadline is how long callers wait; 0 means the limit of the service.
@@ -136,7 +136,7 @@
 			return
 		case <-time.After(time.Until(next)):
 		}
-		post := r.Float64() < s.PostPart
+		post := r.Float64() < s.PostFraction
 		block := s.Blocks[r.IntN(len(s.Blocks))]
 		l.active.Add(1)
 		l.running.Add(1)
--- a/internal/standin/demonstrator/demo.go
+++ b/internal/standin/demonstrator/demo.go
@@ -37,9 +37,9 @@
 		Shape string
 		// Length is the duration of the load.
 		Length time.Duration
-		// Load is the load as a fraction of the capacity of all slots.
-		Load float64
-		Seed uint64
+		// LoadFraction is the load as a fraction of the capacity of all slots.
+		LoadFraction float64
+		Seed         uint64
 		// Out receives progress messages.
 		Out io.Writer
 	}
@@ -70,7 +70,7 @@
 	}
 	r := &demoRun{options: o, deployment: d, fleet: f, load: &caller.Load{}, usage: newUsage(f)}
 	r.began = time.Now()
-	r.logf("%s: %d daemons, %d upstreams, load %.0f%% of slots", d.name, len(f.daemons), len(f.servers), 100*o.Load)
+	r.logf("%s: %d daemons, %d upstreams, load %.0f%% of slots", d.name, len(f.daemons), len(f.servers), 100*o.LoadFraction)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go r.usage.loop(ctx)
@@ -116,14 +116,14 @@
 		for n, site := range sites {
 			f := finders[site.Region()]
 			out = append(out, caller.Stream{
-				Class:    string(v.name),
-				Service:  string(v.name),
-				Rate:     v.requestRate(r.options.Load) / float64(len(sites)),
-				PostPart: v.postFraction,
-				Bytes:    v.bytes,
-				Blocks:   clientBlocks(n),
-				Finder:   func(string) *finder.Finder { return f },
-				Seed:     r.options.Seed*1000 + uint64(len(out)),
+				Class:        string(v.name),
+				Service:      string(v.name),
+				Rate:         v.requestRate(r.options.LoadFraction) / float64(len(sites)),
+				PostFraction: v.postFraction,
+				Bytes:        v.bytes,
+				Blocks:       clientBlocks(n),
+				Finder:       func(string) *finder.Finder { return f },
+				Seed:         r.options.Seed*1000 + uint64(len(out)),
 			})
 		}
 	}
--- a/internal/standin/demonstrator/report.go
+++ b/internal/standin/demonstrator/report.go
@@ -95,8 +95,8 @@
 	}
 )
 
-// Broken reports whether any guarantee was violated.
-func (r *Report) Broken() bool {
+// Violated reports whether any guarantee was violated.
+func (r *Report) Violated() bool {
 	return r.Verdict.Violated() || r.ShiftFastest > r.ShiftCapPerMinute*(1+capTolerance)
 }
 
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -96,7 +96,7 @@
 	go func() {
 		defer x.done.Done()
 		x.load.Run(ctx, caller.Stream{
-			Class: "short", Service: "keg-ledger", Rate: rate, PostPart: 0.5, Bytes: 500, Deadline: 5000,
+			Class: "short", Service: "keg-ledger", Rate: rate, PostFraction: 0.5, Bytes: 500, Deadline: 5000,
 			Blocks: []string{""}, Finder: func(string) *finder.Finder { return f }, Seed: 7,
 		})
 	}()
--- a/test/loss_test.go
+++ b/test/loss_test.go
@@ -113,7 +113,7 @@
 	for i, d := range domains {
 		f := &finder.Finder{Seeds: seeds, HTTP: caller.NewClient(nil)}
 		s := caller.Stream{
-			Class: "short", Service: "keg-ledger", Rate: rate, PostPart: postFraction, Bytes: 500, Deadline: 5000,
+			Class: "short", Service: "keg-ledger", Rate: rate, PostFraction: postFraction, Bytes: 500, Deadline: 5000,
 			Blocks: []string{d.block}, Finder: func(string) *finder.Finder { return f }, Seed: uint64(i),
 		}
 		running.Go(func() { d.load.Run(ctx, s) })
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	load.Run(ctx, caller.Stream{
-		Class: "short", Service: "keg-ledger", Rate: rate, PostPart: 0.5, Bytes: 500,
+		Class: "short", Service: "keg-ledger", Rate: rate, PostFraction: 0.5, Bytes: 500,
 		Deadline: timekeeper.Second / 2, Blocks: []string{""},
 		Finder: func(string) *finder.Finder { return f }, Seed: 7,
 	})
