--- a/internal/connection/encrypter/encrypt.go
+++ b/internal/connection/encrypter/encrypt.go
@@ -95,8 +95,8 @@
 	return out
 }
 
-// RemainingValidity returns the remaining validity of this daemon's certificate at a wall-clock time.
-// It is negative after expiry.
+// RemainingValidity returns the remaining validity of this daemon's certificate at a
+// wall-clock time. It is negative after expiry.
 func (e *Encrypter) RemainingValidity(wall timekeeper.Millis) timekeeper.Millis {
 	return timekeeper.Millis(e.credentials.Load().certificate.Leaf.NotAfter.UnixMilli()) - wall
 }
--- a/internal/connection/encrypter/encrypt_test.go
+++ b/internal/connection/encrypter/encrypt_test.go
@@ -29,8 +29,8 @@
 	return e
 }
 
-// exchangeGreeting dials b, sends the greeting and reads it back. It returns the first
-// error of the dialling side.
+// exchangeGreeting dials a listener of b, sends the greeting and reads it back. It returns
+// the first error of the dialling side.
 func exchangeGreeting(t *testing.T, b *encrypter.Encrypter, dial func(context.Context, string) (net.Conn, error)) error {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,7 +66,7 @@
 		var d net.Dialer
 		return d.DialContext(ctx, "tcp", address)
 	}
-	bare := func(ctx context.Context, address string) (net.Conn, error) {
+	noCertificate := func(ctx context.Context, address string) (net.Conn, error) {
 		d := tls.Dialer{Config: &tls.Config{InsecureSkipVerify: true}}
 		return d.DialContext(ctx, "tcp", address)
 	}
@@ -79,7 +79,7 @@
 		{"other authority", load(t, theirs.Files(t.TempDir(), later, theirs, ours)).Dial, false},
 		{"does not trust us", load(t, ours.Files(t.TempDir(), later, theirs)).Dial, false},
 		{"expired", load(t, ours.Files(t.TempDir(), time.Now().Add(-time.Minute), ours)).Dial, false},
-		{"no certificate", bare, false},
+		{"no certificate", noCertificate, false},
 		{"no TLS", plain, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -103,23 +103,23 @@
 	b := load(t, ours.Files(dir, later, ours))
 	b.Reloaded = func(err error) { reloads <- err }
 	go b.Run(ctx)
-	moved := load(t, next.Files(t.TempDir(), later, next, ours))
-	is.True(exchangeGreeting(t, b, moved.Dial) != nil)
-	await := func(well bool) {
+	successor := load(t, next.Files(t.TempDir(), later, next, ours))
+	is.True(exchangeGreeting(t, b, successor.Dial) != nil)
+	awaitReload := func(ok bool) {
 		// The files are written one after the other, so a reload may see only some
 		// of the new ones.
 		for err := range reloads {
-			if (err == nil) == well {
+			if (err == nil) == ok {
 				return
 			}
 		}
 	}
 	ours.Files(dir, later, ours, next)
-	await(true)
-	is.NoErr(exchangeGreeting(t, b, moved.Dial))
+	awaitReload(true)
+	is.NoErr(exchangeGreeting(t, b, successor.Dial))
 	is.NoErr(os.WriteFile(filepath.Join(dir, "link.pem"), []byte("no certificate"), 0o600))
-	await(false)
-	is.NoErr(exchangeGreeting(t, b, moved.Dial))
+	awaitReload(false)
+	is.NoErr(exchangeGreeting(t, b, successor.Dial))
 }
 
 func TestLoadNamesTheSetting(t *testing.T) {
