--- a/internal/connection/framer/frame.go
+++ b/internal/connection/framer/frame.go
@@ -21,6 +21,8 @@
 	// ChunkBytes is the usual size of a chunk of a body.
 	ChunkBytes = 32 << 10
 
+	// headerBytes is the size of a header: a byte for the kind and the length in four
+	// bytes, big-endian.
 	headerBytes = 5
 
 	// readBufferBytes is the size of the read buffer of a stream. Longer frames bypass
@@ -118,7 +120,7 @@
 	if err != nil {
 		return eris.Wrapf(err, "encode frame of kind %d", k)
 	}
-	return w.flush(k, b)
+	return w.writeFrame(k, b)
 }
 
 // Bytes writes p as a frame of kind k.
@@ -126,10 +128,11 @@
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	b := append(w.buffer[:0], make([]byte, headerBytes)...)
-	return w.flush(k, append(b, p...))
+	return w.writeFrame(k, append(b, p...))
 }
 
-func (w *Writer) flush(k Kind, b []byte) error {
+// writeFrame fills in the header at the start of b and writes the frame.
+func (w *Writer) writeFrame(k Kind, b []byte) error {
 	n := len(b) - headerBytes
 	if n > MaxFrameBytes {
 		return ErrTooLong
