--- a/internal/connection/linker/announce.go
+++ b/internal/connection/linker/announce.go
@@ -32,7 +32,7 @@
 func (m *Manager) AnnounceFreeSlots(k pooler.Key, free, slots int) bool {
 	since := m.Clock.Now() - announceWindow
 	for _, s := range m.AcceptedSessions() {
-		if s.remote.Site != k.Site && !s.carriedDirectSince(since) || s.announcementCurrent(k, free, slots) {
+		if s.remote.Site != k.Site && !s.receivedDirectSince(since) || s.announcementCurrent(k, free, slots) {
 			continue
 		}
 		if !m.allowAnnouncement() {
--- a/internal/connection/linker/call.go
+++ b/internal/connection/linker/call.go
@@ -112,18 +112,18 @@
 	if f.Decode(&m) != nil {
 		return exchanger.Lost(exchanger.ReasonLinkLost, ""), true
 	}
-	a := exchanger.Response{
+	r := exchanger.Response{
 		Status:   int(m.Status),
 		Header:   fromHeaders(m.Headers),
 		Length:   m.Length,
 		Upstream: m.Upstream,
 	}
-	if a.Length >= 0 && a.Length <= framer.ChunkBytes {
-		o.buffered = &a
+	if r.Length >= 0 && r.Length <= framer.ChunkBytes {
+		o.buffered = &r
 		return exchanger.Result{}, false
 	}
 	o.responseStarted = true
-	if o.call.Start(a) != nil {
+	if o.call.Start(r) != nil {
 		return cancelledResult, true
 	}
 	return exchanger.Result{}, false
--- a/internal/connection/linker/inbound.go
+++ b/internal/connection/linker/inbound.go
@@ -3,15 +3,15 @@
 import "context"
 
 // addInbound lets the peer use a link that the member dialled, until that link closes.
-// This covers paths on which only one side can connect: without it, an entry whose dials
-// to the only owner of a service were refused answered none of 5,700 requests in a
-// minute, although the link that the owner had dialled was up.
+// This covers paths on which only one side can connect. Without it, an entry whose dials
+// to the only owner of a service were refused served none of 5,700 requests in a minute,
+// although the link that the owner had dialled was up.
 func (p *Peer) addInbound(ctx context.Context, s *Session) {
 	go p.runInbound(ctx, s)
 }
 
 // runInbound monitors an inbound link until it closes. The link is used only after a
-// ping was answered, because Hello also arrives over a path that drops the other direction.
+// ping got its reply, because Hello also arrives over a path that drops the other direction.
 func (p *Peer) runInbound(ctx context.Context, s *Session) {
 	if _, err := s.mux.Ping(); err != nil {
 		return
--- a/internal/connection/linker/link_test.go
+++ b/internal/connection/linker/link_test.go
@@ -116,7 +116,8 @@
 }
 
 // TestAnnouncementsHaveABudget changes the free slots far more often than the rate limit
-// allows. Announce reports the refused announcements, and succeeds again later.
+// allows. AnnounceFreeSlots reports false for the others, and succeeds again
+// later.
 func TestAnnouncementsHaveABudget(t *testing.T) {
 	is := is.New(t)
 	var s manualClock
--- a/internal/connection/linker/manager.go
+++ b/internal/connection/linker/manager.go
@@ -63,7 +63,7 @@
 	return &m.counters
 }
 
-// Accept serves links on l until ctx ends.
+// Accept serves links on l until ctx is done.
 func (m *Manager) Accept(ctx context.Context, l net.Listener) {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
--- a/internal/connection/linker/serve.go
+++ b/internal/connection/linker/serve.go
@@ -19,7 +19,7 @@
 	writer *framer.Writer
 	reader *framer.Reader
 	cancel context.CancelFunc
-	// body receives the request body; nil if the body was included in the head.
+	// body receives the request body; nil if the Request frame included the body.
 	body    *io.PipeWriter
 	trailer http.Header
 }
@@ -120,12 +120,12 @@
 	return c
 }
 
-func (in *inboundCall) sendResponse(a exchanger.Response) error {
+func (in *inboundCall) sendResponse(r exchanger.Response) error {
 	return in.writer.Message(framer.KindResponse, &framer.Response{
-		Status:   uint32(a.Status),
-		Headers:  toHeaders(a.Header),
-		Length:   a.Length,
-		Upstream: a.Upstream,
+		Status:   uint32(r.Status),
+		Headers:  toHeaders(r.Header),
+		Length:   r.Length,
+		Upstream: r.Upstream,
 	})
 }
 
--- a/internal/connection/linker/session.go
+++ b/internal/connection/linker/session.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// writeTimeout closes a session if a ping is not answered within that time.
+	// writeTimeout is how long a ping may wait for its reply before the session is
+	// closed. It also bounds writes.
 	writeTimeout = 4 * time.Second
 
 	// yamuxHeaderBytes is the size of the header that yamux adds to a frame.
@@ -61,7 +62,7 @@
 		// lastReply is when the remote end last replied to a ping, a request or a
 		// heartbeat.
 		lastReply atomic.Int64
-		// pendingCalls is the number of requests sent that have not ended yet.
+		// pendingCalls is the number of requests sent whose result is still outstanding.
 		pendingCalls atomic.Int64
 
 		lock sync.Mutex
@@ -177,7 +178,7 @@
 	s.mux.Close()
 }
 
-func (s *Session) carriedDirectSince(t timekeeper.Millis) bool {
+func (s *Session) receivedDirectSince(t timekeeper.Millis) bool {
 	d := s.lastDirectRequest.Load()
 	return d != 0 && timekeeper.Millis(d) >= t
 }
