--- a/internal/connection/pacer/pace.go
+++ b/internal/connection/pacer/pace.go
@@ -1,5 +1,6 @@
-// Package pacer limits the rate at which exports are sent over links of limited
-// bandwidth, so that short responses are not delayed behind them.
+// Package pacer limits the rate at which exports, the long responses of services of class
+// export, are sent over links of limited bandwidth, so that short responses are not
+// delayed behind them.
 package pacer
 
 import (
