--- a/internal/connection/pipeliner/conn.go
+++ b/internal/connection/pipeliner/conn.go
@@ -37,7 +37,7 @@
 	waiting
 	// body: the end of the body of a request, which its handler reads.
 	body
-	// ended: nothing, since no request is read any more.
+	// ended: nothing, since no more requests are read.
 	ended
 )
 
--- a/internal/connection/pipeliner/fuzz_test.go
+++ b/internal/connection/pipeliner/fuzz_test.go
@@ -8,10 +8,11 @@
 )
 
 const (
-	// endOfFuzz closes a connection whose requests are complete, so that nothing waits.
-	endOfFuzz = "\r\n\r\nGET /end HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+	// closingRequest closes a connection whose requests are complete, so that nothing waits.
+	closingRequest = "\r\n\r\nGET /end HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
-	// fuzzTimeout is when the caller leaves any other connection.
+	// fuzzTimeout is when the caller disconnects if the server has not closed the
+	// connection.
 	fuzzTimeout = 50 * time.Millisecond
 )
 
@@ -38,8 +39,8 @@
 		}
 		gotOurs.clear()
 		gotStandard.clear()
-		a, b := converseFor(t, fuzzTimeout, ours, text+endOfFuzz), converseFor(t, fuzzTimeout, standard, text+endOfFuzz)
-		if a.left || b.left {
+		a, b := exchangeFor(t, fuzzTimeout, ours, text+closingRequest), exchangeFor(t, fuzzTimeout, standard, text+closingRequest)
+		if a.timedOut || b.timedOut {
 			t.Skip("handlers may still be at work")
 		}
 		got, want := gotOurs.of(a.caller), gotStandard.of(b.caller)
--- a/internal/connection/pipeliner/server.go
+++ b/internal/connection/pipeliner/server.go
@@ -24,7 +24,7 @@
 
 	// maxPipelinedTotal is how many requests of all connections are handled while an
 	// earlier one of their connection is. Each takes 2.3 KB here (with 16 on each of 100
-	// connections and waiting handlers) and 6 KB of buffers to be sent on: 17 MB in
+	// connections and waiting handlers) and 6 KB of buffers to be forwarded: 17 MB in
 	// total, a tenth of the smallest VM's memory.
 	maxPipelinedTotal = 2048
 
@@ -49,7 +49,7 @@
 var ErrServerClosed = http.ErrServerClosed
 
 type (
-	// Kind is the kind of refusal of a request that no handler saw.
+	// Kind tells why a request was refused without a call of the handler.
 	Kind string
 
 	// Server serves connections of callers. Handler must be set before use. All other
@@ -70,7 +70,8 @@
 		// MaxHeadBytes bounds the head of a request, in bytes. 0 means
 		// defaultMaxHeadBytes. Values below readBuffer are raised to it.
 		MaxHeadBytes int64
-		// Refused, if not nil, is called for each head that no handler saw.
+		// Refused, if not nil, is called for each request that is refused without a call
+		// of the handler.
 		Refused func(Kind)
 		// Panicked is called when a handler panicked, which closes its connection. If it is
 		// nil, the panic terminates the process.
@@ -114,7 +115,7 @@
 }
 
 // Shutdown closes the listeners and the idle connections, and waits for the others
-// until ctx ends. It returns the error of ctx if some are left.
+// until ctx is done. It returns the error of ctx if some are left.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.stopping.Store(true)
 	s.lock.Lock()
--- a/internal/connection/pipeliner/server_test.go
+++ b/internal/connection/pipeliner/server_test.go
@@ -191,7 +191,7 @@
 	s.release("/a")
 	c.expect(false, "/a", "/b", "/c", "/d")
 	s.release("/e")
-	c.get("/e") // the connection is used on
+	c.get("/e") // the connection stays open
 	c.expect(false, "/e")
 }
 
--- a/internal/connection/pipeliner/standard_test.go
+++ b/internal/connection/pipeliner/standard_test.go
@@ -78,11 +78,12 @@
 }
 
 // conversation is what was received over one connection.
-type conversation struct {
+type transcript struct {
 	caller    string
 	responses []responseView
-	// left reports whether the caller left before the server closed the connection.
-	left bool
+	// timedOut reports whether the caller disconnected before the server closed the
+	// connection.
+	timedOut bool
 }
 
 // responseView is what a caller sees of one response.
@@ -94,15 +95,15 @@
 	trailer string
 }
 
-// converse sends a text and reads all responses until the server closes the connection,
+// exchange sends a text and reads all responses until the server closes the connection,
 // at the latest after it was idle for idleLimit. methods are those of the requests.
-func converse(t testing.TB, address, text string, methods ...string) conversation {
+func exchange(t testing.TB, address, text string, methods ...string) transcript {
 	t.Helper()
-	return converseFor(t, waitTimeout, address, text, methods...)
+	return exchangeFor(t, waitTimeout, address, text, methods...)
 }
 
-// converseFor is like converse, but leaves after d.
-func converseFor(t testing.TB, d time.Duration, address, text string, methods ...string) (v conversation) {
+// exchangeFor is like exchange, but disconnects after d.
+func exchangeFor(t testing.TB, d time.Duration, address, text string, methods ...string) (v transcript) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -122,7 +123,7 @@
 		}
 		p, err := http.ReadResponse(r, &http.Request{Method: method})
 		if err != nil {
-			v.left = errors.Is(err, os.ErrDeadlineExceeded)
+			v.timedOut = errors.Is(err, os.ErrDeadlineExceeded)
 			return v
 		}
 		b, err := io.ReadAll(p.Body)
@@ -200,7 +201,7 @@
 			t.Parallel()
 			is := is.New(t)
 			ours, standard, gotOurs, gotStandard := servers(t)
-			a, b := converse(t, ours, c.text, c.methods...), converse(t, standard, c.text, c.methods...)
+			a, b := exchange(t, ours, c.text, c.methods...), exchange(t, standard, c.text, c.methods...)
 			compare(t, a.responses, b.responses)
 			is.Equal(gotOurs.of(a.caller), gotStandard.of(b.caller))
 		})
@@ -228,7 +229,7 @@
 	is := is.New(t)
 	ours, _, got, _ := servers(t)
 	for _, name := range []string{"Content-Length", "content-length", "CONTENT-LENGTH"} {
-		a := converse(t, ours, "POST /x HTTP/1.1\r\n"+host+name+": 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n").responses
+		a := exchange(t, ours, "POST /x HTTP/1.1\r\n"+host+name+": 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n").responses
 		is.Equal(len(a), 1)
 		is.Equal(a[0].status, http.StatusBadRequest)
 		is.True(a[0].closes)
@@ -267,7 +268,7 @@
 	t.Run("in one piece", func(t *testing.T) {
 		is := is.New(t)
 		ours, _, got, _ := servers(t)
-		v := converse(t, ours, strings.Join(requests, ""))
+		v := exchange(t, ours, strings.Join(requests, ""))
 		var seen []int
 		for _, a := range v.responses {
 			seen = append(seen, a.status)
