--- a/internal/connection/pooler/benchmark_test.go
+++ b/internal/connection/pooler/benchmark_test.go
@@ -32,12 +32,12 @@
 	o := newGatedOwner(settings(slots, slots, s.Listener.Addr().String()), g)
 	b.ReportAllocs()
 	b.ResetTimer()
-	var left atomic.Int64
-	left.Store(int64(b.N))
+	var remaining atomic.Int64
+	remaining.Store(int64(b.N))
 	var done sync.WaitGroup
 	for range 2 * slots {
 		done.Go(func() {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				r := o.Run(context.Background(), call("x", nil, io.Discard))
 				if r.Outcome != exchanger.Answered {
 					b.Error(r)
--- a/internal/connection/pooler/holdtime.go
+++ b/internal/connection/pooler/holdtime.go
@@ -28,9 +28,9 @@
 		p.meanHold = float64(held)
 		return
 	}
-	distance := float64(held) - p.meanHold
-	p.meanHold += distance * holdWeight
-	p.holdDeviation += (math.Abs(distance) - p.holdDeviation) * holdWeight
+	deviation := float64(held) - p.meanHold
+	p.meanHold += deviation * holdWeight
+	p.holdDeviation += (math.Abs(deviation) - p.holdDeviation) * holdWeight
 }
 
 // expectedHold returns how long a request is expected to hold a slot at most. The
@@ -62,7 +62,7 @@
 }
 
 // lacksTime reports whether a request that waited has too little time left for a
-// response. If it were sent, it would mostly be cut distance while it runs, with an unknown
+// response. If it were sent, its deadline would mostly pass while it runs, with an unknown
 // outcome.
 func (p *Pool) lacksTime(deadline timekeeper.Millis) bool {
 	if deadline == 0 {
--- a/internal/connection/pooler/outlier.go
+++ b/internal/connection/pooler/outlier.go
@@ -8,13 +8,13 @@
 
 const (
 	// failureWeight is the weight of the latest request in the moving average of
-	// failures. From failureThreshold on an upstream is ejected.
+	// failures. An upstream is ejected once its average reaches failureThreshold.
 	failureWeight    = 1.0 / 8
 	failureThreshold = 0.6
 
 	// ejectionDivisor bounds ejections: at most one in ejectionDivisor of the usable
-	// upstreams of a pool may be out at a time. What makes all of them fail is no
-	// fault of a single upstream.
+	// upstreams of a pool may be in back-off at a time. If all of them fail, the cause
+	// is not a single upstream.
 	ejectionDivisor = 3
 )
 
@@ -40,17 +40,17 @@
 // lock.
 func (p *Pool) mayEject() bool {
 	now := p.clock.Now()
-	all, out := 0, 0
+	all, down := 0, 0
 	for _, u := range p.upstreams {
 		if u.removed || u.draining || u.vmLeaving || !u.claimed {
 			continue
 		}
 		all++
 		if now < u.downUntil {
-			out++
+			down++
 		}
 	}
-	return (out+1)*ejectionDivisor <= all
+	return (down+1)*ejectionDivisor <= all
 }
 
 // isFailure reports whether the outcome of a request counts as a failure of its
--- a/internal/connection/pooler/owner.go
+++ b/internal/connection/pooler/owner.go
@@ -249,7 +249,7 @@
 	}
 }
 
-// RunUpkeep handles ramp-up, the end of back-offs and probes until ctx ends.
+// RunUpkeep handles ramp-up, the end of back-offs and probes until ctx is done.
 func (o *Owner) RunUpkeep(ctx context.Context) {
 	timekeeper.Every(ctx, upkeepInterval, func() { o.upkeep(ctx) })
 }
--- a/internal/connection/pooler/pool.go
+++ b/internal/connection/pooler/pool.go
@@ -32,7 +32,7 @@
 		// meanHold is the moving average of the time that a request holds a slot,
 		// in milliseconds.
 		meanHold float64
-		// holdDeviation is the moving average of the distance from meanHold, in
+		// holdDeviation is the moving average of the absolute deviation from meanHold, in
 		// milliseconds.
 		holdDeviation float64
 		// ejections counts ejections of upstreams for their failures.
@@ -286,13 +286,13 @@
 }
 
 // TakeLoad returns the load and, by the site of origin, the total time that requests
-// held slots. Both the peak and the times count from the last call.
+// held slots. The peak and the times cover the period since the last call.
 func (p *Pool) TakeLoad() (Load, map[registrar.Site]timekeeper.Millis) {
 	l := p.Load()
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.peak = l.Busy
-	w := p.heldByOrigin
+	held := p.heldByOrigin
 	p.heldByOrigin = map[registrar.Site]timekeeper.Millis{}
-	return l, w
+	return l, held
 }
--- a/internal/connection/pooler/pool_test.go
+++ b/internal/connection/pooler/pool_test.go
@@ -125,7 +125,7 @@
 		c := s.Counts()
 		is.Equal(c.Shed, int64(0))
 		is.True(c.Peak <= 3)
-		is.True(c.Conns <= 4) // one per slot, and one whose dial ended after its call got another
+		is.True(c.Conns <= 4) // one per slot, and one whose dial completed after its call got another
 		for token, n := range c.Journal {
 			is.Equal(n, 1)
 			_ = token
