--- a/internal/connection/router/router.go
+++ b/internal/connection/router/router.go
@@ -28,7 +28,7 @@
 	Options struct {
 		Name   string
 		Routes []rest.Route
-		// Fallback serves requests that match no route. Nil responds with 404.
+		// Fallback serves requests that match no route. Nil means a 404 response.
 		Fallback http.Handler
 		// BypassRoutes reports whether a request goes to the fallback even if a route
 		// matches it. Nil means that none does.
