--- a/internal/connection/sender/conn.go
+++ b/internal/connection/sender/conn.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// undisturbed reports whether the upstream has neither closed an idle connection nor
+// stillIdle reports whether the upstream has neither closed an idle connection nor
 // sent anything on it. Bytes that precede a request cannot be its response.
-func (c *conn) undisturbed() bool {
+func (c *conn) stillIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -99,14 +99,14 @@
 	if err != nil {
 		return false
 	}
-	undisturbed := false
+	idle := false
 	var b [1]byte
 	err = raw.Read(func(fd uintptr) bool {
 		_, err := syscall.Read(int(fd), b[:])
-		undisturbed = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		idle = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && undisturbed
+	return err == nil && idle
 }
 
 // withinKeepAlive reports whether an idle connection is still within its keep-alive time.
--- a/internal/connection/sender/pool.go
+++ b/internal/connection/sender/pool.go
@@ -74,7 +74,7 @@
 		}
 		now := p.Clock.Now()
 		tooOld := maxIdle > 0 && now-c.idleSince >= maxIdle
-		if !tooOld && c.withinKeepAlive(now) && c.undisturbed() {
+		if !tooOld && c.withinKeepAlive(now) && c.stillIdle() {
 			c.reused = true
 			return c, nil
 		}
--- a/internal/connection/sender/send.go
+++ b/internal/connection/sender/send.go
@@ -88,10 +88,15 @@
 		// bytesBefore is the number of bytes on the connection before this exchange.
 		bytesBefore int64
 		body        io.ReadCloser
-		closes      bool
-		complete    bool
-		stopAbort   func() bool
-		bodyDone    chan error
+		// closes reports whether the connection cannot be reused, and complete whether
+		// the body was read to its end.
+		closes   bool
+		complete bool
+		// stopAbort stops the abort of the connection at the end of the context. It
+		// reports whether that was still possible.
+		stopAbort func() bool
+		// bodyDone receives the result of sending a streamed body; nil for none.
+		bodyDone chan error
 	}
 )
 
@@ -106,13 +111,13 @@
 		return nil, ErrWithdrawn
 	}
 	_ = c.SetDeadline(q.ConnDeadline)
-	a := &Response{pool: p, conn: c, bytesBefore: c.bytes.Load(), Reused: c.reused}
-	a.stopAbort = context.AfterFunc(ctx, c.abort)
-	if err := a.exchange(q); err != nil {
-		a.Close()
+	r := &Response{pool: p, conn: c, bytesBefore: c.bytes.Load(), Reused: c.reused}
+	r.stopAbort = context.AfterFunc(ctx, c.abort)
+	if err := r.exchange(q); err != nil {
+		r.Close()
 		return nil, err
 	}
-	return a, nil
+	return r, nil
 }
 
 func (p *Pool) connect(ctx context.Context, q *Request) (*conn, error) {
@@ -121,17 +126,17 @@
 	return p.get(ctx, q.MaxIdle)
 }
 
-func (a *Response) exchange(q *Request) error {
-	if err := a.write(q); err != nil {
+func (r *Response) exchange(q *Request) error {
+	if err := r.write(q); err != nil {
 		return classifyError(err)
 	}
 	for range maxUnmatched + 1 {
-		p, err := a.readHead(q)
+		p, err := r.readHead(q)
 		if err != nil {
 			return classifyError(err)
 		}
 		if q.EchoField == "" || p.Header.Get(q.EchoField) == q.Echo {
-			a.setHead(p)
+			r.setHead(p)
 			return nil
 		}
 		if p.Header.Get(q.EchoField) == "" {
@@ -146,8 +151,8 @@
 
 // write sends the head and the body. A streamed body is sent by a goroutine of its
 // own, since an upstream may respond before it has received the whole body.
-func (a *Response) write(q *Request) error {
-	w := a.conn.writer
+func (r *Response) write(q *Request) error {
+	w := r.conn.writer
 	_, _ = w.WriteString(q.Method)
 	_ = w.WriteByte(' ')
 	_, _ = w.WriteString(q.Target)
@@ -169,8 +174,8 @@
 		return err
 	}
 	if q.Stream != nil {
-		a.bodyDone = make(chan error, 1)
-		go a.runBody(q)
+		r.bodyDone = make(chan error, 1)
+		go r.runBody(q)
 	}
 	return nil
 }
@@ -180,17 +185,17 @@
 }
 
 // runBody sends a streamed body.
-func (a *Response) runBody(q *Request) {
-	err := a.copyBody(q)
+func (r *Response) runBody(q *Request) {
+	err := r.copyBody(q)
 	if err != nil {
 		// A truncated body must not look complete.
-		a.conn.abort()
+		r.conn.abort()
 	}
-	a.bodyDone <- err
+	r.bodyDone <- err
 }
 
-func (a *Response) copyBody(q *Request) error {
-	w := a.conn.writer
+func (r *Response) copyBody(q *Request) error {
+	w := r.conn.writer
 	if q.Length >= 0 {
 		n, err := io.Copy(w, io.LimitReader(q.Stream, q.Length))
 		if err == nil && n < q.Length {
@@ -213,10 +218,10 @@
 }
 
 // readHead reads the head of a final response and skips interim ones.
-func (a *Response) readHead(q *Request) (*http.Response, error) {
+func (r *Response) readHead(q *Request) (*http.Response, error) {
 	method := &http.Request{Method: q.Method}
 	for {
-		p, err := http.ReadResponse(a.conn.reader, method)
+		p, err := http.ReadResponse(r.conn.reader, method)
 		if err != nil {
 			return nil, err
 		}
@@ -229,51 +234,51 @@
 	}
 }
 
-func (a *Response) setHead(p *http.Response) {
-	a.Status, a.Header, a.Length, a.body = p.StatusCode, p.Header, p.ContentLength, p.Body
-	a.closes = p.Close
-	a.conn.applyKeepAlive(p.Header)
+func (r *Response) setHead(p *http.Response) {
+	r.Status, r.Header, r.Length, r.body = p.StatusCode, p.Header, p.ContentLength, p.Body
+	r.closes = p.Close
+	r.conn.applyKeepAlive(p.Header)
 }
 
 // Read reads the body. Any error but io.EOF means that the body is incomplete.
-func (a *Response) Read(b []byte) (int, error) {
-	n, err := a.body.Read(b)
+func (r *Response) Read(b []byte) (int, error) {
+	n, err := r.body.Read(b)
 	if err == io.EOF {
-		a.complete = true
+		r.complete = true
 	}
 	return n, err
 }
 
 // Complete reports whether the body was read to its end.
-func (a *Response) Complete() bool {
-	return a.complete
+func (r *Response) Complete() bool {
+	return r.complete
 }
 
 // Bytes returns the number of bytes sent and received in this exchange so far.
-func (a *Response) Bytes() int64 {
-	return a.conn.bytes.Load() - a.bytesBefore
+func (r *Response) Bytes() int64 {
+	return r.conn.bytes.Load() - r.bytesBefore
 }
 
 // Close returns the connection to the pool if the exchange is complete in both
 // directions. Otherwise it closes the connection, so that the upstream drops the request.
-func (a *Response) Close() {
-	stopped := a.stopAbort()
-	if a.complete && !a.closes && stopped && a.bodySent() && a.conn.reader.Buffered() == 0 {
-		_ = a.conn.SetDeadline(time.Time{})
-		a.pool.put(a.conn)
+func (r *Response) Close() {
+	stopped := r.stopAbort()
+	if r.complete && !r.closes && stopped && r.bodySent() && r.conn.reader.Buffered() == 0 {
+		_ = r.conn.SetDeadline(time.Time{})
+		r.pool.put(r.conn)
 		return
 	}
-	_ = a.conn.Close()
+	_ = r.conn.Close()
 }
 
 // bodySent reports whether the body was sent completely. If not, closing the connection
-// ends the goroutine that sends it.
-func (a *Response) bodySent() bool {
-	if a.bodyDone == nil {
+// makes the goroutine that sends it return.
+func (r *Response) bodySent() bool {
+	if r.bodyDone == nil {
 		return true
 	}
 	select {
-	case err := <-a.bodyDone:
+	case err := <-r.bodyDone:
 		return err == nil
 	default:
 		return false
--- a/internal/connection/sender/send_test.go
+++ b/internal/connection/sender/send_test.go
@@ -23,8 +23,9 @@
 
 const echoField = "X-Id"
 
-// script is an upstream that runs a function for each connection.
-type script struct {
+// testUpstream is an upstream that runs a function for each connection, with a pool of
+// connections to it.
+type testUpstream struct {
 	pool  *sender.Pool
 	heads chan string
 }
@@ -37,15 +38,15 @@
 
 func (c conn) Read(b []byte) (int, error) { return c.reader.Read(b) }
 
-// newScript starts an upstream. It calls play with each connection and a function that
+// startTestUpstream starts an upstream. It calls play with each connection and a function that
 // returns the head of the next request, or "" at the end of the connection.
-func newScript(t *testing.T, play func(c conn, next func() string)) *script {
+func startTestUpstream(t *testing.T, play func(c conn, next func() string)) *testUpstream {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := &script{heads: make(chan string, 100)}
+	s := &testUpstream{heads: make(chan string, 100)}
 	go s.runAccept(l, play)
 	s.pool = &sender.Pool{
 		Address: l.Addr().String(),
@@ -56,7 +57,7 @@
 	return s
 }
 
-func (s *script) runAccept(l net.Listener, play func(conn, func() string)) {
+func (s *testUpstream) runAccept(l net.Listener, play func(conn, func() string)) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -66,7 +67,7 @@
 	}
 }
 
-func (s *script) runConn(c net.Conn, play func(conn, func() string)) {
+func (s *testUpstream) runConn(c net.Conn, play func(conn, func() string)) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	play(conn{c.(*net.TCPConn), r}, func() string {
@@ -103,7 +104,7 @@
 }
 
 // get sends a request and returns the body of its response.
-func (s *script) get(q *sender.Request) (string, error) {
+func (s *testUpstream) get(q *sender.Request) (string, error) {
 	a, err := s.pool.Do(context.Background(), q)
 	if err != nil {
 		return "", err
@@ -115,7 +116,7 @@
 
 func TestConnectionIsKept(t *testing.T) {
 	is := is.New(t)
-	s := newScript(t, func(c conn, next func() string) {
+	s := startTestUpstream(t, func(c conn, next func() string) {
 		for i := 0; next() != ""; i++ {
 			_, _ = io.WriteString(c, response(fmt.Sprint(i), fmt.Sprint("body ", i)))
 		}
@@ -149,7 +150,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newScript(t, func(c conn, next func() string) {
+			s := startTestUpstream(t, func(c conn, next func() string) {
 				for head := next(); head != ""; head = next() {
 					text := tt.first
 					if strings.Contains(head, echoField+": 2") {
@@ -186,7 +187,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newScript(t, func(c conn, next func() string) {
+			s := startTestUpstream(t, func(c conn, next func() string) {
 				next()
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+echoField+": 1\r\n"+tt.text)
 			})
@@ -201,7 +202,7 @@
 
 func TestResetIsNoEnd(t *testing.T) {
 	is := is.New(t)
-	s := newScript(t, func(c conn, next func() string) {
+	s := startTestUpstream(t, func(c conn, next func() string) {
 		next()
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+echoField+": 1\r\n\r\npart")
 		_ = c.SetLinger(0)
@@ -212,11 +213,11 @@
 
 func TestOutcomes(t *testing.T) {
 	is := is.New(t)
-	lost := newScript(t, func(_ conn, next func() string) { next() })
+	lost := startTestUpstream(t, func(_ conn, next func() string) { next() })
 	_, err := lost.get(request("1"))
 	is.True(errors.Is(err, sender.ErrLost))
 
-	silent := newScript(t, func(_ conn, next func() string) {
+	silent := startTestUpstream(t, func(_ conn, next func() string) {
 		next()
 		next()
 	})
@@ -248,7 +249,7 @@
 
 func TestSilentUpstreamIsToldFromASlowOne(t *testing.T) {
 	is := is.New(t)
-	s := newScript(t, func(_ conn, next func() string) { next() })
+	s := startTestUpstream(t, func(_ conn, next func() string) { next() })
 	dial := s.pool.Dial
 	s.pool.Dial = func(ctx context.Context, a string) (net.Conn, error) {
 		c, err := dial(ctx, a)
@@ -261,7 +262,7 @@
 func TestLeavingCallerEndsTheRequest(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan bool)
-	s := newScript(t, func(_ conn, next func() string) {
+	s := startTestUpstream(t, func(_ conn, next func() string) {
 		next()
 		// The connection must end without another request.
 		ended <- next() == ""
@@ -280,7 +281,7 @@
 // rest of the body must not be sent, and the connection must not be reused.
 func TestEarlyAnswerToALongBody(t *testing.T) {
 	is := is.New(t)
-	s := newScript(t, func(c conn, next func() string) {
+	s := startTestUpstream(t, func(c conn, next func() string) {
 		if next() != "" {
 			_, _ = io.WriteString(c, response("1", "early"))
 		}
@@ -303,7 +304,7 @@
 	for _, length := range []int64{5, -1} {
 		t.Run(fmt.Sprint(length), func(t *testing.T) {
 			is := is.New(t)
-			s := newScript(t, func(c conn, next func() string) {
+			s := startTestUpstream(t, func(c conn, next func() string) {
 				next()
 				b := make([]byte, 64)
 				n, _ := io.ReadAtLeast(c, b, 5)
@@ -335,7 +336,7 @@
 func TestBytesAreCounted(t *testing.T) {
 	is := is.New(t)
 	const body = "a body that is sent while it arrives"
-	s := newScript(t, func(c conn, next func() string) {
+	s := startTestUpstream(t, func(c conn, next func() string) {
 		next()
 		_, _ = io.WriteString(c, response("1", "one"))
 		next()
@@ -347,7 +348,7 @@
 		sent.Add(out)
 		received.Add(in)
 	}
-	exchange := func(q *sender.Request) (carried int64) {
+	exchange := func(q *sender.Request) (bytes int64) {
 		a, err := s.pool.Do(context.Background(), q)
 		is.NoErr(err)
 		defer a.Close()
@@ -368,17 +369,17 @@
 	is.Equal(s.pool.Dials(), uint64(1))
 }
 
-// lateConn writes a body and then blocks until told is closed.
-type lateConn struct {
+// blockingConn blocks after it has written body, until unblock is closed.
+type blockingConn struct {
 	net.Conn
-	body string
-	told chan struct{}
+	body    string
+	unblock chan struct{}
 }
 
-func (c lateConn) Write(b []byte) (int, error) {
+func (c blockingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	if string(b) == c.body {
-		<-c.told
+		<-c.unblock
 	}
 	return n, err
 }
@@ -389,16 +390,16 @@
 func TestBodyIsCountedBeforeItsAnswer(t *testing.T) {
 	is := is.New(t)
 	const body = "a body that is sent while it arrives"
-	s := newScript(t, func(c conn, next func() string) {
+	s := startTestUpstream(t, func(c conn, next func() string) {
 		next()
 		_, _ = io.CopyN(io.Discard, c, int64(len(body)))
 		_, _ = io.WriteString(c, response("1", "one"))
 	})
-	told := make(chan struct{})
+	unblock := make(chan struct{})
 	dial := s.pool.Dial
 	s.pool.Dial = func(ctx context.Context, a string) (net.Conn, error) {
 		c, err := dial(ctx, a)
-		return lateConn{c, body, told}, err
+		return blockingConn{c, body, unblock}, err
 	}
 	q := request("1")
 	q.Method, q.Stream, q.Length = http.MethodPost, strings.NewReader(body), int64(len(body))
@@ -407,7 +408,7 @@
 	_, err = io.ReadAll(a)
 	is.NoErr(err)
 	is.Equal(a.Bytes(), int64(len(<-s.heads)+len(body)+len(response("1", "one"))))
-	close(told)
+	close(unblock)
 	a.Close()
 }
 
@@ -423,7 +424,7 @@
 	m := measurer.New()
 	defer m.Close()
 	send, receive := m.Adder("sent", measurer.Labels{}), m.Adder("received", measurer.Labels{})
-	s := &script{pool: &sender.Pool{
+	s := &testUpstream{pool: &sender.Pool{
 		Address: upstream.Listener.Addr().String(),
 		Dial: func(ctx context.Context, a string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "tcp", a)
