--- a/internal/connection/tracker/upstream.go
+++ b/internal/connection/tracker/upstream.go
@@ -39,7 +39,7 @@
 		Slots   int
 	}
 
-	// Upstream is the state of one incarnation. Set.Of creates it.
+	// Upstream is the state of one incarnation. It is created by Set.StateOf.
 	Upstream struct {
 		Pool *sender.Pool
 
@@ -64,13 +64,14 @@
 	}
 )
 
-// State returns the input for the choice of an upstream.
-func (u *Upstream) State(known *cataloger.Upstream) placer.State {
+// State returns the input for the choice of an upstream. catalogued is its entry in the
+// catalog.
+func (u *Upstream) State(catalogued *cataloger.Upstream) placer.State {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return placer.State{
-		Slots:    max(known.Slots, u.report.Slots),
+		Slots:    max(catalogued.Slots, u.report.Slots),
 		Own:      u.inFlight,
 		Reported: u.estimatedLoad(now),
 		Gone:     u.replaced,
@@ -166,11 +167,11 @@
 	return first
 }
 
-// recordOutcome adds an outcome to the moving averages: failed means failed or
-// refused, errored means failed. The caller holds the lock.
-func (u *Upstream) recordOutcome(failed, errored bool, now timekeeper.Millis) {
-	u.failureShare += (indicator(failed) - u.failureShare) * failureWeight
-	u.errorShare += (indicator(errored) - u.errorShare) * failureWeight
+// recordOutcome adds an outcome to the moving averages: unsuccessful means that the request
+// failed or was refused, failed that it failed. The caller holds the lock.
+func (u *Upstream) recordOutcome(unsuccessful, failed bool, now timekeeper.Millis) {
+	u.failureShare += (indicator(unsuccessful) - u.failureShare) * failureWeight
+	u.errorShare += (indicator(failed) - u.errorShare) * failureWeight
 	if u.failureShare > failureThreshold {
 		u.excludedUntil = now + exclusionPeriod
 	}
