--- a/pkg/finder/finder.go
+++ b/pkg/finder/finder.go
@@ -34,7 +34,7 @@
 	maxLookupBytes = 64 << 10
 )
 
-// Outcomes of a request. The zero value is the one that makes no claim.
+// Outcomes of a request. Unknown, the zero value, means that the request may have run.
 const (
 	Unknown Outcome = iota
 	NotRun
@@ -147,12 +147,12 @@
 	k := lookupKey{service, block}
 	now := f.Clock.Now()
 	f.lock.Lock()
-	a := f.cache[k]
+	cached := f.cache[k]
 	f.lock.Unlock()
-	if a != nil && now < a.expires {
-		return a.lookup, nil
+	if cached != nil && now < cached.expires {
+		return cached.lookup, nil
 	}
-	l, err := f.lookupAny(ctx, k, a)
+	l, err := f.lookupAny(ctx, k, cached)
 	if err != nil {
 		return Lookup{}, err
 	}
--- a/pkg/finder/send.go
+++ b/pkg/finder/send.go
@@ -171,12 +171,12 @@
 	if key.first {
 		q.Header.Set(headerFirstAttempt, "1")
 	}
-	a, err := doWithTimeout(client, q, f.responseTimeout(deadline))
+	resp, err := doWithTimeout(client, q, f.responseTimeout(deadline))
 	f.dialFailures.record(e.Address, err, f.Clock.Now())
 	if err != nil {
 		return Response{Outcome: p.outcome(), Reason: err.Error()}
 	}
-	return newResponse(a)
+	return newResponse(resp)
 }
 
 // lowercaseReplayHeaders changes the names of replayHeaders in h to lower case.
--- a/pkg/hasher/rendezvous.go
+++ b/pkg/hasher/rendezvous.go
@@ -8,6 +8,7 @@
 )
 
 const (
+	// mixA, mixB and mixC are the increment and the multipliers of SplitMix64.
 	mixA = 0x9e3779b97f4a7c15
 	mixB = 0xbf58476d1ce4e5b9
 	mixC = 0x94d049bb133111eb
@@ -72,10 +73,10 @@
 }
 
 func makeLogTable() (t [1<<logBits + 1]float64) {
-	const digits = 1 << 40
+	const scale = 1 << 40
 	for i := range t {
 		// Rounding removes differences between implementations of math.Log2.
-		t[i] = math.Round(math.Log2(1+float64(i)/(1<<logBits))*digits) / digits
+		t[i] = math.Round(math.Log2(1+float64(i)/(1<<logBits))*scale) / scale
 	}
 	return t
 }
--- a/pkg/leaser/lease.go
+++ b/pkg/leaser/lease.go
@@ -122,8 +122,8 @@
 	return l.term() / renewalsPerTerm
 }
 
-// FenceRegressions returns how often the lease was read with a lower fence than before, or
-// with the same fence and another holder. Either means that a process wrote the
+// FenceRegressions returns how often the lease was read with a lower fence than before,
+// or with the same fence and another holder. Either means that a process wrote the
 // object without holding the lease.
 func (l *Lease) FenceRegressions() uint64 {
 	return l.fenceRegressions.Load()
@@ -218,6 +218,9 @@
 	return l.Store.Update(ctx, l.Name, encode(next), at)
 }
 
+// resolveWrite reads the lease back after a conflict or a write with an unknown result.
+// If the stored record is the one that was written, the lease is held. Otherwise it stays
+// held only if this process is still its holder.
 func (l *Lease) resolveWrite(ctx context.Context, wanted Record, sent timekeeper.Millis) {
 	if err := l.refresh(ctx); err != nil {
 		return
@@ -320,14 +323,14 @@
 // Run calls Step until ctx is done, and calls changed whenever the lease is
 // acquired or lost.
 func (l *Lease) Run(ctx context.Context, changed func(Fence, bool)) {
-	var was bool
+	var wasHeld bool
 	for {
 		wait := l.Step(ctx)
 		fence, held := l.Held()
-		if held != was && changed != nil {
+		if held != wasHeld && changed != nil {
 			changed(fence, held)
 		}
-		was = held
+		wasHeld = held
 		select {
 		case <-ctx.Done():
 			return
--- a/pkg/registrar/home.go
+++ b/pkg/registrar/home.go
@@ -42,15 +42,15 @@
 		return 1
 	})
 	// In order of preference, each incarnation is the home for the part of its
-	// period in which none of the preceding ones was a member. left holds the
+	// period in which none of the preceding ones was a member. uncovered holds the
 	// spans that are not covered yet.
 	var out []Incarnation
-	left := []span{{from, to}}
+	uncovered := []span{{from, to}}
 	for _, p := range all {
-		if overlapsAny(left, span{p.from - clockSkew, p.to + clockSkew}) {
+		if overlapsAny(uncovered, span{p.from - clockSkew, p.to + clockSkew}) {
 			out = append(out, p.incarnation)
 		}
-		left = subtract(left, span{p.from + clockSkew, p.to - clockSkew})
+		uncovered = subtract(uncovered, span{p.from + clockSkew, p.to - clockSkew})
 	}
 	return out
 }
--- a/pkg/registrar/roster.go
+++ b/pkg/registrar/roster.go
@@ -59,7 +59,7 @@
 		Fence   leaser.Fence
 		Version uint64
 		Members []Member
-		// Members that were removed within HistoryRetention.
+		// Past lists the members that were removed within HistoryRetention.
 		Past []FormerMember `json:",omitempty"`
 	}
 
@@ -133,7 +133,7 @@
 }
 
 // Without returns a view without the given members. It is used to exclude members
-// that are known to be gone from ownership and lookups.
+// that are known to have terminated from ownership and lookups.
 func (v *View) Without(gone map[Incarnation]bool) *View {
 	if len(gone) == 0 {
 		return v
--- a/pkg/sharer/split.go
+++ b/pkg/sharer/split.go
@@ -113,9 +113,9 @@
 		}
 	}
 	var out Split
-	for s, have := range w {
-		gap := float64(target.Of(s)) - float64(have)
-		out = append(out, Part{Site: s, Share: Share(float64(have) + gap*f)})
+	for s, current := range w {
+		change := float64(target.Of(s)) - float64(current)
+		out = append(out, Part{Site: s, Share: Share(float64(current) + change*f)})
 	}
 	out = slices.DeleteFunc(out, func(p Part) bool { return p.Share == 0 })
 	out.sort()
