--- a/internal/connection/linker/link_test.go
+++ b/internal/connection/linker/link_test.go
@@ -17,7 +17,7 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-var pool = pooler.Key{Site: "erie/a", Service: "keg-ledger"}
+var poolKey = pooler.Key{Site: "erie/a", Service: "keg-ledger"}
 
 // manualClock is a clock that only the test advances.
 type manualClock struct{ now atomic.Int64 }
@@ -89,7 +89,7 @@
 
 func call() *exchanger.Call {
 	return &exchanger.Call{
-		Head:  exchanger.Head{ID: "1", Site: pool.Site, Service: pool.Service, Method: "GET", Target: "/"},
+		Head:  exchanger.Head{ID: "1", Site: poolKey.Site, Service: poolKey.Service, Method: "GET", Target: "/"},
 		Start: func(exchanger.Response) error { return nil },
 		Write: func([]byte) error { return nil },
 	}
@@ -104,14 +104,14 @@
 	frames := to.Counters().Frames.Load()
 	r := p.Run(context.Background(), call(), false)
 	is.Equal(r.Outcome, exchanger.Answered)
-	free, slots := p.FreeSlots(pool)
+	free, slots := p.FreeSlots(poolKey)
 	is.Equal(free, 5)
 	is.Equal(slots, 12)
 	is.Equal(to.Counters().Frames.Load(), frames)
 	// A value that the sender already has is not announced; one far from it is.
-	is.True(to.AnnounceFreeSlots(pool, 5, 12))
+	is.True(to.AnnounceFreeSlots(poolKey, 5, 12))
 	is.Equal(to.Counters().Frames.Load(), frames)
-	is.True(to.AnnounceFreeSlots(pool, 0, 12))
+	is.True(to.AnnounceFreeSlots(poolKey, 0, 12))
 	is.Equal(to.Counters().Frames.Load(), frames+1)
 }
 
@@ -125,14 +125,14 @@
 	before := to.Counters().ControlOut.Load()
 	refused := 0
 	for i := range 2000 {
-		if !to.AnnounceFreeSlots(pool, 12*(i%2), 12) {
+		if !to.AnnounceFreeSlots(poolKey, 12*(i%2), 12) {
 			refused++
 		}
 	}
 	is.True(refused > 900)
 	is.True(to.Counters().ControlOut.Load()-before <= 5<<10)
 	s.now.Add(1000)
-	announced := to.AnnounceFreeSlots(pool, 0, 12) && to.AnnounceFreeSlots(pool, 12, 12)
+	announced := to.AnnounceFreeSlots(poolKey, 0, 12) && to.AnnounceFreeSlots(poolKey, 12, 12)
 	is.True(announced)
 }
 
@@ -197,7 +197,7 @@
 	var paced atomic.Int64
 	to.Pace = func(_ context.Context, m registrar.Member, c *exchanger.Call, n int) error {
 		is.Equal(m.Incarnation, registrar.Incarnation("a"))
-		is.Equal(pooler.KeyOf(c), pool)
+		is.Equal(pooler.KeyOf(c), poolKey)
 		paced.Add(int64(n))
 		return nil
 	}
--- a/internal/connection/linker/session.go
+++ b/internal/connection/linker/session.go
@@ -32,7 +32,9 @@
 type (
 	// Counters counts the traffic on the links of a daemon. ControlIn and ControlOut
 	// are the bytes on control streams; ControlOut includes the yamux headers. WireIn
-	// and WireOut are all bytes, including requests and pings.
+	// and WireOut are all bytes, including requests and pings. Frames counts the control
+	// frames sent, Handed and Received the requests sent and received. Lost counts the
+	// requests sent whose link was lost before their result arrived.
 	Counters struct {
 		WireIn     atomic.Uint64
 		WireOut    atomic.Uint64
