--- a/internal/connection/pipeliner/conn.go
+++ b/internal/connection/pipeliner/conn.go
@@ -29,16 +29,16 @@
 
 // The phases of a connection: what its reader waits for.
 const (
-	// idle: the first byte of a head.
-	idle phase = iota
-	// head: the rest of a head.
-	head
-	// waiting: the start of a request that was read, or the last response.
-	waiting
-	// body: the end of the body of a request, which its handler reads.
-	body
-	// ended: nothing, since no more requests are read.
-	ended
+	// phaseIdle waits for the first byte of a head.
+	phaseIdle phase = iota
+	// phaseHead waits for the rest of a head.
+	phaseHead
+	// phaseWaiting waits for the start of a request that was read, or for the last response.
+	phaseWaiting
+	// phaseBody waits for the end of the body of a request, which its handler reads.
+	phaseBody
+	// phaseEnded waits for nothing, since no more requests are read.
+	phaseEnded
 )
 
 var (
@@ -129,7 +129,7 @@
 // shutdown waits for pending responses and closes the connection.
 func (c *conn) shutdown() {
 	c.lock.Lock()
-	c.phase = ended
+	c.phase = phaseEnded
 	for len(c.pending) > 0 {
 		c.changed.Wait()
 	}
@@ -140,7 +140,7 @@
 		c.linger()
 	}
 	_ = c.Conn.Close()
-	c.server.untrack(c)
+	c.server.removeConn(c)
 	c.releaseBuffers()
 }
 
@@ -171,7 +171,7 @@
 func (c *conn) awaitStart(p *response) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.phase, c.next = waiting, p
+	c.phase, c.next = phaseWaiting, p
 	over := func() bool { return c.closing || c.broken }
 	if !c.readAheadUntil(func() bool { return over() || c.mayStart(p) }) || over() {
 		return false
@@ -184,7 +184,7 @@
 func (c *conn) awaitResponses() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.phase = waiting
+	c.phase = phaseWaiting
 	c.readAheadUntil(func() bool { return len(c.pending) == 0 || c.broken })
 }
 
@@ -230,9 +230,9 @@
 		c.server.pipelined.Add(1)
 	}
 	c.next = nil
-	c.phase = idle
+	c.phase = phaseIdle
 	if p.body != nil {
-		c.phase = body
+		c.phase = phaseBody
 	}
 	c.pending = append(c.pending, p)
 	c.setReadTimeout(0)
@@ -259,9 +259,9 @@
 	switch {
 	case c.broken, c.closing && len(c.pending) == 0:
 		c.interrupt()
-	case c.phase == idle && len(c.pending) == 0:
+	case c.phase == phaseIdle && len(c.pending) == 0:
 		c.setReadTimeout(c.server.idleTimeout())
-	case c.phase == waiting && (c.next == nil && len(c.pending) == 0 || c.next != nil && c.mayStart(c.next)):
+	case c.phase == phaseWaiting && (c.next == nil && len(c.pending) == 0 || c.next != nil && c.mayStart(c.next)):
 		c.interrupt()
 	}
 }
@@ -270,7 +270,7 @@
 func (c *conn) closeIfIdle() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if len(c.pending) == 0 && c.phase == idle {
+	if len(c.pending) == 0 && c.phase == phaseIdle {
 		c.closing = true
 		c.interrupt()
 	}
--- a/internal/connection/pipeliner/head.go
+++ b/internal/connection/pipeliner/head.go
@@ -71,13 +71,13 @@
 func (c *conn) awaitHead() bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.phase = idle
+	c.phase = phaseIdle
 	for {
 		if c.closing || c.broken {
 			return false
 		}
 		if c.reader.Buffered() > 0 && !c.skipEmptyLines() {
-			c.phase = head
+			c.phase = phaseHead
 			return true
 		}
 		if !c.setIdleTimeout() {
--- a/internal/connection/pipeliner/server.go
+++ b/internal/connection/pipeliner/server.go
@@ -92,7 +92,7 @@
 
 // Serve accepts connections until the listener fails or Shutdown is called.
 func (s *Server) Serve(l net.Listener) error {
-	if !s.track(l) {
+	if !s.addListener(l) {
 		_ = l.Close()
 		return ErrServerClosed
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-func (s *Server) track(l net.Listener) bool {
+func (s *Server) addListener(l net.Listener) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.stopping.Load() {
@@ -170,7 +170,7 @@
 	go c.run()
 }
 
-func (s *Server) untrack(c *conn) {
+func (s *Server) removeConn(c *conn) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	delete(s.connections, c)
