--- a/internal/connection/pooler/owner.go
+++ b/internal/connection/pooler/owner.go
@@ -49,10 +49,12 @@
 		// Probed, if not nil, is called after each probe.
 		Probed func(k Key, upstream string, ok bool)
 
-		lock    sync.RWMutex
+		lock sync.RWMutex
+		// leaving holds the IP addresses of leaving VMs.
 		leaving map[string]bool
 		pools   map[Key]*Pool
-		probes  map[string]timekeeper.Millis
+		// probes holds the time of the next probe by the address of the upstream.
+		probes map[string]timekeeper.Millis
 	}
 )
 
--- a/internal/connection/pooler/pool.go
+++ b/internal/connection/pooler/pool.go
@@ -22,13 +22,17 @@
 		clock timekeeper.Clock
 		dial  dialer
 
-		lock         sync.Mutex
-		settings     *resolver.Service
-		upstreams    []*upstream
-		waiting      *list.List
+		lock      sync.Mutex
+		settings  *resolver.Service
+		upstreams []*upstream
+		// waiting is the queue of waiters.
+		waiting *list.List
+		// heldByOrigin is the time that requests held slots since the last TakeLoad, by
+		// the site of origin. peak is the highest number of busy slots since then.
 		heldByOrigin map[registrar.Site]timekeeper.Millis
 		peak         int
-		notify       func()
+		// notify is called when the number of free slots may have changed.
+		notify func()
 		// meanHold is the moving average of the time that a request holds a slot,
 		// in milliseconds.
 		meanHold float64
