--- a/pkg/finder/finder.go
+++ b/pkg/finder/finder.go
@@ -62,8 +62,9 @@
 		lock         sync.Mutex
 		cache        map[lookupKey]*cachedLookup
 		dialFailures dialFailures
-		next         atomic.Uint64
-		lookups      atomic.Uint64
+		// nextSeed rotates the seed to which a lookup is sent first.
+		nextSeed atomic.Uint64
+		lookups  atomic.Uint64
 	}
 
 	// Request is a request of a caller. Body is held in memory, so that the
@@ -174,7 +175,7 @@
 			addresses = append(addresses, e.Address)
 		}
 	}
-	start := int(f.next.Add(1))
+	start := int(f.nextSeed.Add(1))
 	for i := range f.Seeds {
 		addresses = append(addresses, f.Seeds[(start+i)%len(f.Seeds)])
 	}
--- a/pkg/finder/retry_test.go
+++ b/pkg/finder/retry_test.go
@@ -15,8 +15,8 @@
 	"github.com/gullvale/gullvale/pkg/finder"
 )
 
-// crashingEntry is an entry that answers lookups and one request, and terminates while it
-// runs the next request on the same connection.
+// crashingEntry is an entry that responds to lookups and to one request, and terminates
+// while it runs the next request on the same connection.
 type crashingEntry struct {
 	listener net.Listener
 	ran      atomic.Int64
--- a/pkg/finder/trace_test.go
+++ b/pkg/finder/trace_test.go
@@ -17,7 +17,7 @@
 // errResponseLost is the error returned by untracedTransport.
 var errResponseLost = errors.New("response lost")
 
-// untracedTransport is a transport without httptrace support. It answers lookups, runs
+// untracedTransport is a transport without httptrace support. It responds to lookups, runs
 // every other request and loses the response.
 type untracedTransport struct {
 	entry finder.Entry
--- a/pkg/leaser/lease.go
+++ b/pkg/leaser/lease.go
@@ -63,9 +63,11 @@
 		Term  timekeeper.Millis
 		Clock timekeeper.Clock
 
-		lock           sync.Mutex
-		record         Record
-		revision       storer.Revision
+		lock     sync.Mutex
+		record   Record
+		revision storer.Revision
+		// unchangedSince is when the current revision was first observed, and sentAt when
+		// the write that acquired or last renewed the lease was sent.
 		unchangedSince timekeeper.Millis
 		sentAt         timekeeper.Millis
 		held           bool
