--- a/internal/request/assigner/demand.go
+++ b/internal/request/assigner/demand.go
@@ -47,8 +47,8 @@
 // where own is the fraction of all work that may stay there. Routes with the tightest
 // objectives come first, because a round trip between regions takes the largest part of
 // theirs. With 2 of 16 and 2 of 12 upstreams in a region with a third of the callers, and
-// 70 ms to the next region, the tightest route (250 ms) got 0.703 of its value instead of 0.651, and
-// all routes together +0.0070 ± 0.0017 (24 paired days with faults and load).
+// 70 ms to the next region, the tightest route (250 ms) got 0.703 of its value instead of
+// 0.651, and all routes together +0.0070 ± 0.0017 (24 paired days with faults and load).
 func (d demands) localShare(route string, own float64) float64 {
 	order := slices.Clone(d)
 	slices.SortFunc(order, func(a, b routeDemand) int {
@@ -58,12 +58,12 @@
 	for _, e := range order {
 		total += e.work
 	}
-	left := own * total
+	remaining := own * total
 	for _, e := range order {
 		if e.route == route && e.work > 0 {
-			return min(max(left/e.work, 0), 1)
+			return min(max(remaining/e.work, 0), 1)
 		}
-		left -= e.work
+		remaining -= e.work
 	}
 	return own
 }
--- a/internal/request/assigner/load_test.go
+++ b/internal/request/assigner/load_test.go
@@ -51,11 +51,11 @@
 )
 
 // step advances the upstream to a time and returns the jobs that finished.
-func (m *simUpstream) step(now timekeeper.Millis) (ended []*job) {
+func (m *simUpstream) step(now timekeeper.Millis) (finished []*job) {
 	kept := m.running[:0]
 	for _, j := range m.running {
 		if j.endsAt <= now {
-			ended = append(ended, j)
+			finished = append(finished, j)
 		} else {
 			kept = append(kept, j)
 		}
@@ -67,7 +67,7 @@
 		j.endsAt = now + m.serviceTime(j.key)
 		m.running = append(m.running, j)
 	}
-	return ended
+	return finished
 }
 
 // serviceTime returns how long a key takes and caches it.
--- a/internal/request/assigner/placement.go
+++ b/internal/request/assigner/placement.go
@@ -43,10 +43,11 @@
 	HomeNotAllowed Reason = "home not allowed"
 	// HomeFull means that the key moved from a home with too many requests.
 	HomeFull Reason = "home full"
-	// HomePassedOver means that the request runs at another upstream because its key's home is down,
-	// failing or cold. The home does not change.
+	// HomePassedOver means that the request runs at another upstream because its key's home is
+	// down, failing or cold. The home does not change.
 	HomePassedOver Reason = "home passed over"
-	// RetriedElsewhere means a retry at another upstream, after an attempt that was refused or broke.
+	// RetriedElsewhere means a retry at another upstream, after an attempt that was refused or
+	// failed.
 	RetriedElsewhere Reason = "repeat elsewhere"
 	// RetriedThere means a retry at the upstream that refused the previous attempt.
 	RetriedThere Reason = "repeat there"
@@ -78,13 +79,13 @@
 }
 
 // moveWithReason moves a key and returns the placement of the request that caused the move.
-func (a *Assigner) moveWithReason(why Reason, key hasher.Hash, h *home, to *cataloger.Upstream) Placement {
-	p := Placement{Upstream: to, Reason: why, Former: h.formerHomes.contains(to.Hash()), Left: h.lastSeenHome()}
+func (a *Assigner) moveWithReason(reason Reason, key hasher.Hash, h *home, to *cataloger.Upstream) Placement {
+	p := Placement{Upstream: to, Reason: reason, Former: h.formerHomes.contains(to.Hash()), Left: h.lastSeenHome()}
 	a.move(key, h, to)
 	return p
 }
 
-// lossReason returns why a key can't stay at its home.
+// lossReason returns why a key cannot stay at its home: it is gone, or not allowed.
 func (h *home) lossReason(all []*cataloger.Upstream) Reason {
 	if findUpstream(all, h.upstream, anyRegion) != nil {
 		return HomeNotAllowed
--- a/internal/request/dispatcher/answer.go
+++ b/internal/request/dispatcher/answer.go
@@ -26,33 +26,33 @@
 
 // handleResponse forwards an upstream's response to the caller. It reports false if the
 // response is not forwarded and the request may be retried.
-func (x *exchange) handleResponse(u *cataloger.Upstream, t *tracker.Upstream, a *sender.Response) bool {
-	if a.Status == http.StatusMisdirectedRequest {
+func (x *exchange) handleResponse(u *cataloger.Upstream, t *tracker.Upstream, resp *sender.Response) bool {
+	if resp.Status == http.StatusMisdirectedRequest {
 		x.recordTerminated(t)
 		x.decision.Reason = "other incarnation"
-		drainResponse(a)
+		drainResponse(resp)
 		return false
 	}
-	if a.Header.Get(x.d.Fields.NotRun) != "" {
+	if resp.Header.Get(x.d.Fields.NotRun) != "" {
 		t.RecordRefusal()
 		x.decision.Reason = "refused by upstream"
 		x.refusedBy = x.attempted[len(x.attempted)-1]
-		drainResponse(a)
+		drainResponse(resp)
 		return false
 	}
-	success := a.Status < http.StatusMultipleChoices
-	if proof := x.d.Fields.Proof; success && proof != "" && a.Header.Get(proof) == "" {
+	success := resp.Status < http.StatusMultipleChoices
+	if proof := x.d.Fields.Proof; success && proof != "" && resp.Header.Get(proof) == "" {
 		return x.discardResponse(t, "answer of unknown origin")
 	}
-	failed := a.Status >= http.StatusInternalServerError
+	failed := resp.Status >= http.StatusInternalServerError
 	if failed && x.retriesFailure() {
 		t.RecordResponse(true)
 		x.markMayHaveRun()
 		x.decision.Reason = "upstream failed"
-		drainResponse(a)
+		drainResponse(resp)
 		return false
 	}
-	return x.forwardResponse(u, t, a, failed)
+	return x.forwardResponse(u, t, resp, failed)
 }
 
 // recordTerminated records that the upstream of the last attempt has terminated. While the
@@ -83,51 +83,51 @@
 }
 
 // forwardResponse forwards a response to the caller: complete, or visibly broken off.
-func (x *exchange) forwardResponse(u *cataloger.Upstream, t *tracker.Upstream, a *sender.Response, failed bool) bool {
+func (x *exchange) forwardResponse(u *cataloger.Upstream, t *tracker.Upstream, resp *sender.Response, failed bool) bool {
 	b := responseBuffers.Get().(*[responseBufferBytes]byte)
 	defer responseBuffers.Put(b)
-	n, err := io.ReadFull(a, b[:])
-	whole := err == io.EOF || err == io.ErrUnexpectedEOF && a.Complete()
+	n, err := io.ReadFull(resp, b[:])
+	whole := err == io.EOF || err == io.ErrUnexpectedEOF && resp.Complete()
 	if err != nil && !whole {
 		x.checkLoss(u, t, err, x.retryable())
 		return x.discardResponse(t, "answer broke off")
 	}
 	t.RecordResponse(failed)
-	x.copyHeader(a)
+	x.copyHeader(resp)
 	if whole {
-		x.clearSuspect(a)
+		x.clearSuspect(resp)
 		x.w.Header().Set("Content-Length", strconv.Itoa(n))
-		x.w.WriteHeader(a.Status)
+		x.w.WriteHeader(resp.Status)
 		_, err = x.w.Write(b[:n])
-		x.finishAnswered(a.Status, err)
+		x.finishAnswered(resp.Status, err)
 		return true
 	}
-	x.streamResponse(u, t, a, b[:], n)
+	x.streamResponse(u, t, resp, b[:], n)
 	return true
 }
 
 // streamResponse forwards a response that is longer than the buffer.
-func (x *exchange) streamResponse(u *cataloger.Upstream, t *tracker.Upstream, a *sender.Response, b []byte, n int) {
-	if a.Length >= 0 {
-		x.w.Header().Set("Content-Length", strconv.FormatInt(a.Length, 10))
+func (x *exchange) streamResponse(u *cataloger.Upstream, t *tracker.Upstream, resp *sender.Response, b []byte, n int) {
+	if resp.Length >= 0 {
+		x.w.Header().Set("Content-Length", strconv.FormatInt(resp.Length, 10))
 	}
-	x.w.WriteHeader(a.Status)
+	x.w.WriteHeader(resp.Status)
 	for {
 		if _, err := x.w.Write(b[:n]); err != nil {
-			x.finishAnswered(a.Status, err)
+			x.finishAnswered(resp.Status, err)
 			return
 		}
 		var err error
-		n, err = a.Read(b)
+		n, err = resp.Read(b)
 		if err == io.EOF {
-			x.clearSuspect(a)
+			x.clearSuspect(resp)
 			_, err = x.w.Write(b[:n])
-			x.finishAnswered(a.Status, err)
+			x.finishAnswered(resp.Status, err)
 			return
 		}
 		if err != nil {
 			x.checkLoss(u, t, err, false)
-			x.finish(exchanger.Answered, "answer broke off", a.Status)
+			x.finish(exchanger.Answered, "answer broke off", resp.Status)
 			// HTTP/1.1 signals an incomplete response by closing the connection.
 			panic(http.ErrAbortHandler)
 		}
@@ -143,10 +143,10 @@
 }
 
 // copyHeader copies the end-to-end header fields of a response.
-func (x *exchange) copyHeader(a *sender.Response) {
+func (x *exchange) copyHeader(resp *sender.Response) {
 	h := x.w.Header()
-	forwarder.RemoveHop(a.Header)
-	for n, v := range a.Header {
+	forwarder.RemoveHop(resp.Header)
+	for n, v := range resp.Header {
 		h[n] = v
 	}
 	x.setCloseIfStopping()
@@ -160,7 +160,7 @@
 }
 
 // refuseNotRun responds that the request did not run, or that it may have run if an earlier
-// attempt may have. After is the Retry-After time; 0 allows an immediate retry.
+// attempt may have. after is the Retry-After time; 0 allows an immediate retry.
 func (x *exchange) refuseNotRun(status int, reason string, after timekeeper.Millis) {
 	if x.mayHaveRun {
 		x.failUnknown(http.StatusBadGateway, reason)
@@ -217,8 +217,8 @@
 }
 
 // drainResponse reads the rest of a short response so that its connection can be reused.
-func drainResponse(a *sender.Response) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(a, framer.ChunkBytes))
+func drainResponse(resp *sender.Response) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp, framer.ChunkBytes))
 }
 
 func formatSeconds(m timekeeper.Millis) string {
--- a/internal/request/dispatcher/behind_test.go
+++ b/internal/request/dispatcher/behind_test.go
@@ -27,10 +27,10 @@
 	is := is.New(t)
 	s := newHarness(t, matcher.Idempotent)
 	for _, x := range []struct {
-		behind timekeeper.Millis
+		lag    timekeeper.Millis
 		status int
 	}{{0, http.StatusNotFound}, {0, http.StatusNotFound}, {900, http.StatusServiceUnavailable}} {
-		s.ConfigLag = func() timekeeper.Millis { return x.behind }
+		s.ConfigLag = func() timekeeper.Millis { return x.lag }
 		p, _ := s.do(http.MethodGet, "id", func(r *http.Request) { r.Host = "other.example" })
 		is.Equal(p.StatusCode, x.status)
 	}
--- a/internal/request/dispatcher/dispatcher.go
+++ b/internal/request/dispatcher/dispatcher.go
@@ -62,17 +62,17 @@
 		Fields          Fields
 		// ParseLoad reads the value of Fields.Load.
 		ParseLoad func(string) (tracker.Report, bool)
-		// HasWarmupRoom reports whether a cold upstream has room for a request. Warm takes that room
-		// for a request that is sent, and reports false if none is left. Nil allows no
-		// requests to cold upstreams.
+		// HasWarmupRoom reports whether a cold upstream has room for a request.
+		// AcquireWarmupRoom takes that room for a request that is sent, and reports false if
+		// none is left. Nil allows no requests to cold upstreams.
 		HasWarmupRoom, AcquireWarmupRoom WarmupFunc
 		// Homes assigns keys to their homes. Nil means that keys are placed by their hash.
 		Homes *assigner.Assigner
 		// Ended is called when another incarnation responds at an upstream's address. It may
 		// be nil.
 		Ended func(cataloger.Incarnation)
-		// Quarantine tracks requests that crash their upstreams. Nil means that none is
-		// refused for it.
+		// Quarantine tracks requests that crash their upstreams and refuses those in
+		// quarantine. Nil disables it.
 		Quarantine *quarantiner.Quarantiner
 		// Limits enforces the organisations' limits. Nil means no limits.
 		Limits *limiter.Limiter
@@ -83,8 +83,8 @@
 		// AwaitReady waits, for a bounded time, until the entry has the state that it needs to
 		// place requests. Nil means that there is nothing to wait for.
 		AwaitReady func(context.Context)
-		// PipelineWait returns how long a pipelined request waited for the requests before it on its
-		// connection. Nil means that none waits.
+		// PipelineWait returns how long a pipelined request waited for the requests before it
+		// on its connection. Nil means that none waits.
 		PipelineWait func(http.ResponseWriter) timekeeper.Millis
 		// OnDecision is called with the decision on each request. It may be nil.
 		OnDecision func(*Decision)
@@ -128,9 +128,9 @@
 		Elapsed   timekeeper.Millis
 		// Objective is the time within which a response is worth its full price.
 		Objective timekeeper.Millis
-		// PipelineWait is the part of Took that the request spent waiting for the requests before it
-		// on its connection. SentAfter is the time from its arrival to the first attempt, or
-		// -1 if there was none.
+		// PipelineWait is the part of Elapsed that the request spent waiting for the requests
+		// before it on its connection. SentAfter is the time from its arrival to the first
+		// attempt, or -1 if there was none.
 		PipelineWait timekeeper.Millis
 		SentAfter    timekeeper.Millis
 		// Bytes counts what was sent to and received from upstreams in all attempts that got a
--- a/internal/request/dispatcher/dispatcher_test.go
+++ b/internal/request/dispatcher/dispatcher_test.go
@@ -181,7 +181,7 @@
 // A terminated upstream ran nothing: it uses up no attempt, but it does use the retry budget,
 // and it is reported once.
 func TestEndedUpstreamsUseNoAttempt(t *testing.T) {
-	ended := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) }
+	misdirects := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) }
 	for _, kind := range []matcher.Kind{matcher.Once, matcher.Idempotent} {
 		is := is.New(t)
 		s := newHarness(t, kind)
@@ -190,7 +190,7 @@
 		var n atomic.Int64
 		serve := func(w http.ResponseWriter, r *http.Request) {
 			if n.Add(1) <= 2 {
-				ended(w, r)
+				misdirects(w, r)
 				return
 			}
 			succeeds(w, r)
@@ -205,7 +205,7 @@
 
 		s.burst = 0
 		n.Store(0)
-		s.add(t, "u4", ended)
+		s.add(t, "u4", misdirects)
 		p, _ = s.do(http.MethodPost, "id2", func(q *http.Request) { q.Header.Set(fields.Key, "other") })
 		is.True(p.StatusCode == http.StatusOK || p.StatusCode == http.StatusServiceUnavailable)
 		is.True(s.ran("id2") <= 2) // no burst: the ratio of the requests so far allows less than one retry
@@ -393,8 +393,8 @@
 			is := is.New(t)
 			s := newHarness(t, matcher.Once)
 			s.add(t, "u1", succeeds)
-			behind := timekeeper.Millis(40)
-			s.ConfigLag = func() timekeeper.Millis { return behind }
+			lag := timekeeper.Millis(40)
+			s.ConfigLag = func() timekeeper.Millis { return lag }
 			var reason string
 			s.OnDecision = func(d *dispatcher.Decision) { reason = d.Reason }
 
@@ -405,7 +405,7 @@
 			p, _ = s.do(http.MethodPost, "allowed", nil)
 			is.Equal(p.StatusCode, http.StatusOK)
 
-			behind = 0
+			lag = 0
 			p, _ = s.do(http.MethodPost, "current", x.change)
 			is.Equal(p.StatusCode, x.current)
 			is.Equal(s.ran("behind")+s.ran("current"), 0)
--- a/internal/request/dispatcher/exchange.go
+++ b/internal/request/dispatcher/exchange.go
@@ -106,8 +106,8 @@
 	observation quarantiner.Observation
 
 	attempted []cataloger.Incarnation
-	// misdirected is how many of them had terminated: another incarnation responded and ran
-	// nothing.
+	// misdirected is how many of the attempted incarnations had terminated: another one
+	// responded in their place and ran nothing.
 	misdirected int
 	// unreached lists the upstreams that could not be dialled for the request.
 	unreached []cataloger.Incarnation
@@ -121,7 +121,7 @@
 	decision Decision
 }
 
-// reportDecision records the metrics of the request and calls Decided.
+// reportDecision records the metrics of the request and calls OnDecision.
 func (x *exchange) reportDecision() {
 	x.settleToken()
 	e := &x.decision
--- a/internal/request/dispatcher/identify.go
+++ b/internal/request/dispatcher/identify.go
@@ -24,10 +24,10 @@
 	if x.route.Public || !d.Required() {
 		return true
 	}
-	key, flaw := authenticator.Credential(x.r.Header[http.CanonicalHeaderKey(x.d.Fields.Credential)])
-	if flaw != authenticator.Valid {
+	key, status := authenticator.Credential(x.r.Header[http.CanonicalHeaderKey(x.d.Fields.Credential)])
+	if status != authenticator.Valid {
 		// A newer configuration may have made the route public.
-		x.deny(http.StatusUnauthorized, string(flaw))
+		x.deny(http.StatusUnauthorized, string(status))
 		return false
 	}
 	if x.d.KeysUnconfirmed != nil && x.d.KeysUnconfirmed() {
--- a/internal/request/dispatcher/identify_test.go
+++ b/internal/request/dispatcher/identify_test.go
@@ -38,21 +38,21 @@
 	is := is.New(t)
 	s := newHarnessWithKeys(t, matcher.Idempotent, keyOf("a", "k"))
 	s.add(t, "u", succeeds)
-	behind := timekeeper.Millis(0)
-	s.ConfigLag = func() timekeeper.Millis { return behind }
+	lag := timekeeper.Millis(0)
+	s.ConfigLag = func() timekeeper.Millis { return lag }
 
 	p, _ := s.do(http.MethodGet, "known", withKey("k"))
 	is.Equal(p.StatusCode, http.StatusOK)
 	p, _ = s.do(http.MethodGet, "unknown", withKey("new"))
 	is.Equal(p.StatusCode, http.StatusUnauthorized)
 
-	behind = 10
+	lag = 10
 	p, _ = s.do(http.MethodGet, "behind", withKey("new"))
 	is.Equal(p.StatusCode, http.StatusServiceUnavailable)
 	is.True(p.Header.Get("Retry-After") != "")
 	p, _ = s.do(http.MethodGet, "none", nil)
 	is.Equal(p.StatusCode, http.StatusServiceUnavailable) // the route may be public by now
-	behind = 0
+	lag = 0
 	p, _ = s.do(http.MethodGet, "none", nil)
 	is.Equal(p.StatusCode, http.StatusUnauthorized)
 	is.Equal(s.ran("unknown")+s.ran("behind")+s.ran("none"), 0)
--- a/internal/request/dispatcher/limit_test.go
+++ b/internal/request/dispatcher/limit_test.go
@@ -79,9 +79,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			s := newHarnessWithLimit(t, tt.kind)
-			var sound atomic.Bool
+			var healthy atomic.Bool
 			s.add(t, "u", func(w http.ResponseWriter, r *http.Request) {
-				if !sound.Load() {
+				if !healthy.Load() {
 					tt.serve(w, r)
 					return
 				}
@@ -90,7 +90,7 @@
 			for i := range 20 {
 				s.do(http.MethodPost, fmt.Sprint("before", i), withKey("k"))
 			}
-			sound.Store(true)
+			healthy.Store(true)
 			within := 0
 			for i := range 10 {
 				if p, _ := s.do(http.MethodPost, fmt.Sprint("after", i), withKey("k")); p.StatusCode != http.StatusTooManyRequests {
--- a/internal/request/dispatcher/quarantine.go
+++ b/internal/request/dispatcher/quarantine.go
@@ -82,11 +82,11 @@
 
 // clearSuspect clears the request of suspicion after a complete response other than a server
 // error.
-func (x *exchange) clearSuspect(a *sender.Response) {
-	if a.Status >= http.StatusInternalServerError || !x.anySuspects() {
+func (x *exchange) clearSuspect(resp *sender.Response) {
+	if resp.Status >= http.StatusInternalServerError || !x.anySuspects() {
 		return
 	}
-	if proof := x.d.Fields.Proof; proof == "" || a.Header.Get(proof) != "" {
+	if proof := x.d.Fields.Proof; proof == "" || resp.Header.Get(proof) != "" {
 		x.d.Quarantine.RecordAnswer(x.requestFingerprint())
 	}
 }
--- a/internal/request/dispatcher/send.go
+++ b/internal/request/dispatcher/send.go
@@ -38,7 +38,7 @@
 	t := x.d.Upstreams.StateOf(u)
 	t.Begin()
 	defer t.End()
-	a, err := t.Pool.Do(x.r.Context(), x.newRequest(u))
+	resp, err := t.Pool.Do(x.r.Context(), x.newRequest(u))
 	switch {
 	case errors.Is(err, sender.ErrWithdrawn):
 		return false
@@ -50,10 +50,10 @@
 	if err != nil {
 		return x.handleLost(u, t, err)
 	}
-	defer a.Close()
-	defer func() { x.decision.Bytes += a.Bytes() }()
-	x.recordLoad(t, a)
-	return x.handleResponse(u, t, a)
+	defer resp.Close()
+	defer func() { x.decision.Bytes += resp.Bytes() }()
+	x.recordLoad(t, resp)
+	return x.handleResponse(u, t, resp)
 }
 
 // handleNotSent records that the request did not reach its upstream.
@@ -137,8 +137,8 @@
 }
 
 // recordLoad records the load that the upstream reports in a response.
-func (x *exchange) recordLoad(t *tracker.Upstream, a *sender.Response) {
-	if v := a.Header.Get(x.d.Fields.Load); v != "" && x.d.ParseLoad != nil {
+func (x *exchange) recordLoad(t *tracker.Upstream, resp *sender.Response) {
+	if v := resp.Header.Get(x.d.Fields.Load); v != "" && x.d.ParseLoad != nil {
 		if r, ok := x.d.ParseLoad(v); ok {
 			t.RecordLoad(r)
 		}
--- a/internal/request/forwarder/answer.go
+++ b/internal/request/forwarder/answer.go
@@ -20,24 +20,24 @@
 }
 
 // writeHead forwards the status and header of an upstream's response.
-func (x *exchange) writeHead(a exchanger.Response) error {
+func (x *exchange) writeHead(resp exchanger.Response) error {
 	h := x.writer.Header()
-	RemoveHop(a.Header)
-	for n, v := range a.Header {
+	RemoveHop(resp.Header)
+	for n, v := range resp.Header {
 		h[n] = v
 	}
 	h.Set(HeaderOutcome, exchanger.Answered.String())
-	h.Set(HeaderUpstream, a.Upstream)
+	h.Set(HeaderUpstream, resp.Upstream)
 	h.Set(HeaderEntry, x.forwarder.Self().Name)
-	if a.Length >= 0 && h.Get("Content-Length") == "" && a.Status != http.StatusNoContent {
-		h.Set("Content-Length", strconv.FormatInt(a.Length, 10))
+	if resp.Length >= 0 && h.Get("Content-Length") == "" && resp.Status != http.StatusNoContent {
+		h.Set("Content-Length", strconv.FormatInt(resp.Length, 10))
 	}
 	if x.forwarder.Leaving() {
 		h.Set("Connection", "close")
 	}
-	x.flushEachWrite = a.Length < 0
+	x.flushEachWrite = resp.Length < 0
 	x.started = true
-	x.writer.WriteHeader(a.Status)
+	x.writer.WriteHeader(resp.Status)
 	return nil
 }
 
--- a/internal/request/forwarder/detour.go
+++ b/internal/request/forwarder/detour.go
@@ -60,7 +60,7 @@
 	return false
 }
 
-// exists reports whether a site served nothing when it was last tried.
+// exists reports whether a site served nothing at its last attempt.
 func (d *siteBackOffs) exists(k pooler.Key) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -41,8 +41,8 @@
 		// Leaving reports whether callers should close their connections because the daemon is
 		// stopping.
 		Leaving func() bool
-		// Quarantine tracks requests that crash their upstreams. Nil means that none is
-		// refused for it.
+		// Quarantine tracks requests that crash their upstreams and refuses those in
+		// quarantine. Nil disables it.
 		Quarantine *quarantiner.Quarantiner
 		// Keys remembers the requests that carry an idempotency key.
 		Keys *keykeeper.Keeper
@@ -99,8 +99,8 @@
 	return f.runKeyed(ctx, c, s, keykeeper.Key(key))
 }
 
-// NamesService reports whether a request names a service. Its path is then not one of the daemon's
-// own.
+// NamesService reports whether a request names a service. Its path is then not one of the
+// daemon's own.
 func (f *Forwarder) NamesService(r *http.Request) bool {
 	if r.Header.Get(HeaderService) != "" {
 		return true
--- a/internal/request/forwarder/keyed.go
+++ b/internal/request/forwarder/keyed.go
@@ -117,7 +117,7 @@
 // runAtHome runs a call whose key has its home here, unless the key is already known here or
 // at a former home.
 func (f *Forwarder) runAtHome(ctx context.Context, c *exchanger.Call, s *resolver.Service, key keykeeper.Key) exchanger.Result {
-	r, verdict := f.Keys.Begin(key, printOfCall(c))
+	r, verdict := f.Keys.Begin(key, keyFingerprint(c))
 	switch verdict {
 	case keykeeper.Mismatch:
 		return exchanger.Refused(exchanger.ReasonKeyReused, 0)
@@ -134,9 +134,10 @@
 	return f.runNewKey(ctx, c, s, key, r)
 }
 
-// printOfCall returns a hash that distinguishes the request of a call from others. Of a
-// streamed body only the length is included, since its content is not available.
-func printOfCall(c *exchanger.Call) keykeeper.Fingerprint {
+// keyFingerprint returns a hash that distinguishes the request of a call from others with the
+// same key. Of a streamed body only the length is included, since its content is not
+// available.
+func keyFingerprint(c *exchanger.Call) keykeeper.Fingerprint {
 	if c.Body != nil {
 		return keykeeper.FingerprintOf(c.Method, c.Target, strconv.AppendInt(nil, c.Length, 10))
 	}
@@ -147,7 +148,7 @@
 // time that keys are kept. If one of them holds the key, it settles the call; if one is gone,
 // the outcome of the key is unknown.
 func (f *Forwarder) settleAtFormerHome(ctx context.Context, c *exchanger.Call, key keykeeper.Key) (exchanger.Result, bool) {
-	if _, made := keyIncarnation(key); made || c.Held {
+	if _, namesHome := keyIncarnation(key); namesHome || c.Held {
 		return exchanger.Result{}, false
 	}
 	view := f.Snapshot().View
@@ -160,8 +161,8 @@
 		if !ok {
 			return exchanger.Lost(exchanger.ReasonKeyHomeLost, ""), true
 		}
-		look := &exchanger.Call{Head: exchanger.Head{ID: c.ID, Deadline: c.Deadline}, Key: string(key), Look: true}
-		switch r := f.handOver(ctx, look, m); r.Reason {
+		lookup := &exchanger.Call{Head: exchanger.Head{ID: c.ID, Deadline: c.Deadline}, Key: string(key), Look: true}
+		switch r := f.handOver(ctx, lookup, m); r.Reason {
 		case exchanger.ReasonKeyUnknown:
 			continue
 		case exchanger.ReasonNone:
@@ -192,8 +193,8 @@
 func ignoreWriteErrors(c *exchanger.Call) {
 	start, write := c.Start, c.Write
 	gone := false
-	c.Start = func(a exchanger.Response) error {
-		gone = start(a) != nil
+	c.Start = func(resp exchanger.Response) error {
+		gone = start(resp) != nil
 		return nil
 	}
 	c.Write = func(p []byte) error {
@@ -211,22 +212,22 @@
 		ctx, cancel = context.WithTimeout(ctx, (c.Deadline - f.Clock.Now()).Duration())
 		defer cancel()
 	}
-	result, answer, ended := r.Wait(ctx)
+	result, response, ended := r.Wait(ctx)
 	switch {
 	case !ended:
 		return exchanger.Lost(exchanger.ReasonDeadline, "")
 	case result.Outcome != exchanger.Answered:
 		return result
-	case answer == nil:
+	case response == nil:
 		return exchanger.Result{Outcome: exchanger.Answered, Reason: exchanger.ReasonResponseNotKept, Upstream: result.Upstream}
 	}
-	a := answer.Response
-	a.Header = a.Header.Clone()
-	a.Header.Set(HeaderReplayed, "1")
-	if c.Start(a) != nil {
+	resp := response.Response
+	resp.Header = resp.Header.Clone()
+	resp.Header.Set(HeaderReplayed, "1")
+	if c.Start(resp) != nil {
 		return exchanger.Result{Outcome: exchanger.Answered, Reason: exchanger.ReasonCancelled}
 	}
-	if len(answer.Body) > 0 && c.Write(answer.Body) != nil {
+	if len(response.Body) > 0 && c.Write(response.Body) != nil {
 		return exchanger.Result{Outcome: exchanger.Answered, Reason: exchanger.ReasonCancelled}
 	}
 	return exchanger.Result{Outcome: exchanger.Answered, Whole: true, Upstream: result.Upstream}
@@ -236,7 +237,7 @@
 // another daemon.
 func (f *Forwarder) ServeOutcome(w http.ResponseWriter, r *http.Request) {
 	key := keykeeper.Key(r.URL.Query().Get("Key"))
-	a := OutcomeResponse{Key: string(key), State: "absent"}
+	o := OutcomeResponse{Key: string(key), State: "absent"}
 	s := f.Snapshot()
 	if key == "" || s == nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -246,16 +247,16 @@
 	h, ok := f.home(s, key)
 	switch {
 	case !ok:
-		a.Outcome = exchanger.Unknown.String()
-		a.Reason = string(exchanger.ReasonKeyHomeLost)
+		o.Outcome = exchanger.Unknown.String()
+		o.Reason = string(exchanger.ReasonKeyHomeLost)
 	case h.Incarnation != f.Self().Incarnation:
 		http.Redirect(w, r, "http://"+h.Callers+r.URL.RequestURI(), http.StatusTemporaryRedirect)
 		return
 	default:
-		f.lookUp(&a, key)
+		f.lookUp(&o, key)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(a)
+	_ = json.NewEncoder(w).Encode(o)
 }
 
 // lookUpLinked responds to another daemon that asks whether a key is held here.
@@ -271,14 +272,14 @@
 	return exchanger.Refused(exchanger.ReasonKeyUnknown, 0)
 }
 
-func (f *Forwarder) lookUp(a *OutcomeResponse, key keykeeper.Key) {
+func (f *Forwarder) lookUp(o *OutcomeResponse, key keykeeper.Key) {
 	state, result := f.Keys.Lookup(key)
 	switch state {
 	case keykeeper.Running:
-		a.State = "running"
+		o.State = "running"
 	case keykeeper.Ended:
-		a.State = "ended"
-		a.Outcome = result.Outcome.String()
-		a.Reason = string(result.Reason)
+		o.State = "ended"
+		o.Outcome = result.Outcome.String()
+		o.Reason = string(result.Reason)
 	}
 }
--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -152,6 +152,6 @@
 	if c.Body != nil || !f.anySuspects() {
 		return exchanger.Result{}, false
 	}
-	left, held := f.Quarantine.Remaining(fingerprint(c, c.ShortBody))
-	return exchanger.Refused(exchanger.ReasonQuarantined, left), held
+	remaining, held := f.Quarantine.Remaining(fingerprint(c, c.ShortBody))
+	return exchanger.Refused(exchanger.ReasonQuarantined, remaining), held
 }
--- a/internal/request/forwarder/route.go
+++ b/internal/request/forwarder/route.go
@@ -91,9 +91,9 @@
 		t.call.Body = t.body
 	}
 	start := t.call.Start
-	t.call.Start = func(a exchanger.Response) error {
-		t.started, t.status = true, a.Status
-		return start(a)
+	t.call.Start = func(resp exchanger.Response) error {
+		t.started, t.status = true, resp.Status
+		return start(resp)
 	}
 	admitted := t.call.Admitted
 	t.call.Admitted = func() {
--- a/internal/request/forwarder/shed.go
+++ b/internal/request/forwarder/shed.go
@@ -19,7 +19,7 @@
 )
 
 // classShare returns the share of MostInFlight up to which requests of a class are accepted.
-// Exports are shed first, so that they never crowd out a dock scan.
+// Exports are shed first, so that they never crowd out short requests.
 func classShare(c resolver.Class) float64 {
 	if c == resolver.ClassExport {
 		return 0.5
--- a/internal/request/keykeeper/keeper.go
+++ b/internal/request/keykeeper/keeper.go
@@ -110,14 +110,14 @@
 
 // Begin claims a key for a request. Only one claim of a key succeeds, until it ends as not run
 // or its retention is over.
-func (k *Keeper) Begin(key Key, p Fingerprint) (*Record, BeginResult) {
+func (k *Keeper) Begin(key Key, f Fingerprint) (*Record, BeginResult) {
 	s := k.shard(key)
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	now := k.Clock.Now()
 	k.sweep(s, now)
 	if r := s.records[key]; r != nil && !r.expired(now) {
-		if r.fingerprint != p {
+		if r.fingerprint != f {
 			return nil, Mismatch
 		}
 		return r, Duplicate
@@ -128,7 +128,7 @@
 	if s.records == nil {
 		s.records = map[Key]*Record{}
 	}
-	r := &Record{fingerprint: p, done: make(chan struct{})}
+	r := &Record{fingerprint: f, done: make(chan struct{})}
 	s.records[key] = r
 	s.bytes += r.size(key)
 	return r, Begun
@@ -235,10 +235,10 @@
 // Attach makes c copy its response into rec.
 func (rec *Recorder) Attach(c *exchanger.Call) {
 	start, write := c.Start, c.Write
-	c.Start = func(a exchanger.Response) error {
-		rec.response.Response = a
-		rec.response.Header = a.Header.Clone()
-		return start(a)
+	c.Start = func(resp exchanger.Response) error {
+		rec.response.Response = resp
+		rec.response.Header = resp.Header.Clone()
+		return start(resp)
 	}
 	c.Write = func(p []byte) error {
 		if len(rec.response.Body)+len(p) > MaxResponseBytes {
--- a/internal/request/limiter/allocator.go
+++ b/internal/request/limiter/allocator.go
@@ -247,6 +247,6 @@
 }
 
 // open reports whether responses of other regions are still expected.
-func (l *borrowing) open(now timekeeper.Millis) bool {
-	return l.received < l.asked && now-l.requestedAt < borrowTimeout
+func (b *borrowing) open(now timekeeper.Millis) bool {
+	return b.received < b.asked && now-b.requestedAt < borrowTimeout
 }
--- a/internal/request/limiter/bucket.go
+++ b/internal/request/limiter/bucket.go
@@ -53,12 +53,12 @@
 // refill adds the tokens accrued since the last call. Tokens that were issued in advance and
 // may still be used count as if they were in the bucket.
 func (b *bucket) refill(now timekeeper.Millis, t bucketParams) {
-	grown := b.level + t.rate*seconds(max(now-b.updatedAt, 0))
+	level := b.level + t.rate*seconds(max(now-b.updatedAt, 0))
 	b.updatedAt = now
 	room := max(max(t.capacity, minCapacity)-b.issued.within(now, t.lifetime), 0)
 	switch {
-	case grown <= room:
-		b.level = grown
+	case level <= room:
+		b.level = level
 	case b.level > room && now < b.borrowedUntil:
 		// Borrowed tokens stay for the requests that wait for them.
 	default:
--- a/internal/request/limiter/core.go
+++ b/internal/request/limiter/core.go
@@ -161,8 +161,8 @@
 	return c.flush()
 }
 
-// Tick responds to acquisitions that waited for other regions in vain. It is called the time
-// that Due returns after a step.
+// Tick responds to acquisitions for which other regions did not lend enough in time. It must
+// be called once the delay that Due returned after a step has passed.
 func (c *Core) Tick(now timekeeper.Millis) []Envelope {
 	for h, a := range c.accounts {
 		if len(a.pending) == 0 || a.borrowing.open(now) {
--- a/internal/request/limiter/limiter.go
+++ b/internal/request/limiter/limiter.go
@@ -11,7 +11,7 @@
 )
 
 // startPollInterval is how often the fleet is polled while this daemon has just started and
-// hears no other one. Requests wait for that.
+// hears no other one. Requests wait meanwhile.
 const startPollInterval = 50 * time.Millisecond
 
 // viewInterval is how often the view of the fleet is updated: half a heartbeat.
--- a/internal/request/limiter/limits_test.go
+++ b/internal/request/limiter/limits_test.go
@@ -58,9 +58,9 @@
 
 // disturb applies a fault to a share of the daemons, the leaders of two regions among them,
 // and restores them later.
-func (f *fleet) disturb(part float64, do func(int), later timekeeper.Millis) {
+func (f *fleet) disturb(share float64, do func(int), later timekeeper.Millis) {
 	for d := range f.daemons {
-		if d < 2 || f.random.Float64() < part {
+		if d < 2 || f.random.Float64() < share {
 			do(d)
 			f.after(later, func() { f.restore(d) })
 		}
--- a/internal/request/limiter/strategies_test.go
+++ b/internal/request/limiter/strategies_test.go
@@ -57,8 +57,8 @@
 	}
 )
 
-func (p *tokenBucket) take(now timekeeper.Millis, rate, most float64) bool {
-	p.level = min(p.level+rate*float64(now-p.at)/float64(second), max(most, 1))
+func (p *tokenBucket) take(now timekeeper.Millis, rate, capacity float64) bool {
+	p.level = min(p.level+rate*float64(now-p.at)/float64(second), max(capacity, 1))
 	p.at = now
 	if p.level < 1 {
 		return false
@@ -68,36 +68,36 @@
 }
 
 func newAllocatorStrategy(f *fleet) *allocatorStrategy {
-	w := &allocatorStrategy{f: f, cores: make([]*limiter.Core, len(f.daemons))}
+	s := &allocatorStrategy{f: f, cores: make([]*limiter.Core, len(f.daemons))}
 	for d := range f.daemons {
-		w.restart(d)
+		s.restart(d)
 	}
-	w.heartbeat()
-	return w
+	s.heartbeat()
+	return s
 }
 
-func (w *allocatorStrategy) restart(d int) {
+func (s *allocatorStrategy) restart(d int) {
 	known := map[hasher.Hash]*authenticator.Organisation{}
-	for _, o := range w.f.organisations {
+	for _, o := range s.f.organisations {
 		known[o.Hash()] = o
 	}
-	w.cores[d] = &limiter.Core{
-		Tolerance:    w.f.tolerance,
+	s.cores[d] = &limiter.Core{
+		Tolerance:    s.f.tolerance,
 		Organisation: func(h hasher.Hash) *authenticator.Organisation { return known[h] },
 	}
 }
 
-func (w *allocatorStrategy) observe(d int) *limiter.Core {
-	c := w.cores[d]
-	c.Observe(w.f.now, w.f.viewOf(d))
+func (s *allocatorStrategy) observe(d int) *limiter.Core {
+	c := s.cores[d]
+	c.Observe(s.f.now, s.f.viewOf(d))
 	return c
 }
 
-func (w *allocatorStrategy) take(d int, o *authenticator.Organisation, done func(bool)) {
-	c, decided := w.observe(d), false
+func (s *allocatorStrategy) take(d int, o *authenticator.Organisation, done func(bool)) {
+	c, decided := s.observe(d), false
 	t := &limiter.Ticket{}
 	t.Decided = func() { decided = true; done(t.Verdict.Outcome == limiter.Admitted) }
-	w.send(d, c.Take(w.f.now, o, t))
+	s.send(d, c.Take(s.f.now, o, t))
 	if decided {
 		return
 	}
@@ -105,60 +105,60 @@
 		done(t.Verdict.Outcome == limiter.Admitted)
 		return
 	}
-	w.scheduleTimeout(d, c, o, t)
+	s.scheduleTimeout(d, c, o, t)
 }
 
-func (w *allocatorStrategy) scheduleTimeout(d int, c *limiter.Core, o *authenticator.Organisation, t *limiter.Ticket) {
-	w.f.after(limiter.AllocatorTimeout, func() {
-		if w.cores[d] == c && t.Verdict.Outcome == limiter.Waiting {
-			w.send(d, c.HandleTimeout(w.f.now, o, t))
-			w.scheduleTimeout(d, c, o, t)
+func (s *allocatorStrategy) scheduleTimeout(d int, c *limiter.Core, o *authenticator.Organisation, t *limiter.Ticket) {
+	s.f.after(limiter.AllocatorTimeout, func() {
+		if s.cores[d] == c && t.Verdict.Outcome == limiter.Waiting {
+			s.send(d, c.HandleTimeout(s.f.now, o, t))
+			s.scheduleTimeout(d, c, o, t)
 		}
 	})
 }
 
 // heartbeat updates the view of all daemons.
-func (w *allocatorStrategy) heartbeat() {
-	for d := range w.cores {
-		w.observe(d)
+func (s *allocatorStrategy) heartbeat() {
+	for d := range s.cores {
+		s.observe(d)
 	}
-	w.f.after(heartbeatInterval/2, w.heartbeat)
+	s.f.after(heartbeatInterval/2, s.heartbeat)
 }
 
 // send delivers the messages of a daemon.
-func (w *allocatorStrategy) send(d int, out []limiter.Envelope) {
-	c := w.cores[d]
+func (s *allocatorStrategy) send(d int, out []limiter.Envelope) {
+	c := s.cores[d]
 	for _, e := range out {
 		to, err := strconv.Atoi(e.To)
 		if err != nil {
 			panic(err)
 		}
-		w.f.deliver(d, to, messageBytes, func() {
-			w.send(to, w.observe(to).Receive(w.f.now, strconv.Itoa(d), e.Message))
+		s.f.deliver(d, to, messageBytes, func() {
+			s.send(to, s.observe(to).Receive(s.f.now, strconv.Itoa(d), e.Message))
 		})
 	}
 	if due := c.Due(out); due > 0 {
-		w.f.after(due, func() {
-			if w.cores[d] == c {
-				w.send(d, c.Tick(w.f.now))
+		s.f.after(due, func() {
+			if s.cores[d] == c {
+				s.send(d, c.Tick(s.f.now))
 			}
 		})
 	}
 }
 
 func newEqualShares(f *fleet) *equalShares {
-	w := &equalShares{f: f, buckets: make([]map[hasher.Hash]*tokenBucket, len(f.daemons))}
+	s := &equalShares{f: f, buckets: make([]map[hasher.Hash]*tokenBucket, len(f.daemons))}
 	for d := range f.daemons {
-		w.restart(d)
+		s.restart(d)
 	}
-	return w
+	return s
 }
 
-func (w *equalShares) restart(d int) { w.buckets[d] = map[hasher.Hash]*tokenBucket{} }
+func (s *equalShares) restart(d int) { s.buckets[d] = map[hasher.Hash]*tokenBucket{} }
 
-func (w *equalShares) take(d int, o *authenticator.Organisation, done func(bool)) {
-	n := float64(len(w.f.daemons))
-	done(bucketOf(w.buckets[d], o).take(w.f.now, o.Limit.PerSecond/n, o.Limit.Burst/n))
+func (s *equalShares) take(d int, o *authenticator.Organisation, done func(bool)) {
+	n := float64(len(s.f.daemons))
+	done(bucketOf(s.buckets[d], o).take(s.f.now, o.Limit.PerSecond/n, o.Limit.Burst/n))
 }
 
 func bucketOf(m map[hasher.Hash]*tokenBucket, o *authenticator.Organisation) *tokenBucket {
@@ -170,60 +170,60 @@
 
 func newDemandShares(f *fleet) *demandShares {
 	n := len(f.daemons)
-	w := &demandShares{f: f, buckets: make([]map[hasher.Hash]*tokenBucket, n), demands: make([]map[hasher.Hash]float64, n), rates: make([]map[hasher.Hash]*leasedRate, n)}
+	s := &demandShares{f: f, buckets: make([]map[hasher.Hash]*tokenBucket, n), demands: make([]map[hasher.Hash]float64, n), rates: make([]map[hasher.Hash]*leasedRate, n)}
 	for d := range f.daemons {
-		w.restart(d)
+		s.restart(d)
 	}
-	w.heartbeat()
-	return w
+	s.heartbeat()
+	return s
 }
 
-func (w *demandShares) restart(d int) {
-	w.buckets[d], w.demands[d], w.rates[d] = map[hasher.Hash]*tokenBucket{}, map[hasher.Hash]float64{}, map[hasher.Hash]*leasedRate{}
+func (s *demandShares) restart(d int) {
+	s.buckets[d], s.demands[d], s.rates[d] = map[hasher.Hash]*tokenBucket{}, map[hasher.Hash]float64{}, map[hasher.Hash]*leasedRate{}
 }
 
-func (w *demandShares) take(d int, o *authenticator.Organisation, done func(bool)) {
-	w.demands[d][o.Hash()]++
-	rate, n := o.Limit.PerSecond/float64(len(w.f.daemons))/2, float64(len(w.f.daemons))
-	if l := w.rates[d][o.Hash()]; l != nil && w.f.now < l.until {
+func (s *demandShares) take(d int, o *authenticator.Organisation, done func(bool)) {
+	s.demands[d][o.Hash()]++
+	rate, n := o.Limit.PerSecond/float64(len(s.f.daemons))/2, float64(len(s.f.daemons))
+	if l := s.rates[d][o.Hash()]; l != nil && s.f.now < l.until {
 		rate += l.rate
 	}
-	done(bucketOf(w.buckets[d], o).take(w.f.now, rate, o.Limit.Burst*max(rate/o.Limit.PerSecond, 1/n)))
+	done(bucketOf(s.buckets[d], o).take(s.f.now, rate, o.Limit.Burst*max(rate/o.Limit.PerSecond, 1/n)))
 }
 
 // heartbeat has each daemon report its demand to its leader, and each leader lease half of its
 // region's share by that. The other half is shared equally, for daemons with new demand.
-func (w *demandShares) heartbeat() {
-	w.f.after(heartbeatInterval, w.heartbeat)
-	for r := range w.f.regions {
-		leader := w.f.leader(r)
+func (s *demandShares) heartbeat() {
+	s.f.after(heartbeatInterval, s.heartbeat)
+	for r := range s.f.regions {
+		leader := s.f.leader(r)
 		sums := map[hasher.Hash]float64{}
-		for d := range w.f.daemons {
-			if w.f.region(d) != r || w.f.unreachable(d) || leader < 0 || w.f.unreachable(leader) {
+		for d := range s.f.daemons {
+			if s.f.region(d) != r || s.f.unreachable(d) || leader < 0 || s.f.unreachable(leader) {
 				continue
 			}
-			w.f.messages += 2
-			w.f.bytes += 2 * (28 + rowBytes*len(w.demands[d]))
-			for h, n := range w.demands[d] {
+			s.f.messages += 2
+			s.f.bytes += 2 * (28 + rowBytes*len(s.demands[d]))
+			for h, n := range s.demands[d] {
 				sums[h] += n
 			}
 		}
-		for d := range w.f.daemons {
-			if w.f.region(d) == r && !w.f.unreachable(d) && leader >= 0 && !w.f.unreachable(leader) {
-				w.assignRates(d, sums)
+		for d := range s.f.daemons {
+			if s.f.region(d) == r && !s.f.unreachable(d) && leader >= 0 && !s.f.unreachable(leader) {
+				s.assignRates(d, sums)
 			}
 		}
 	}
 }
 
-func (w *demandShares) assignRates(d int, sums map[hasher.Hash]float64) {
-	for _, o := range w.f.organisations {
+func (s *demandShares) assignRates(d int, sums map[hasher.Hash]float64) {
+	for _, o := range s.f.organisations {
 		h := o.Hash()
 		if sums[h] == 0 {
 			continue
 		}
-		rate := o.Limit.PerSecond / float64(w.f.regions) / 2 * w.demands[d][h] / sums[h]
-		w.rates[d][h] = &leasedRate{rate: rate, until: w.f.now + leaseTime}
+		rate := o.Limit.PerSecond / float64(s.f.regions) / 2 * s.demands[d][h] / sums[h]
+		s.rates[d][h] = &leasedRate{rate: rate, until: s.f.now + leaseTime}
 	}
-	w.demands[d] = map[hasher.Hash]float64{}
+	s.demands[d] = map[hasher.Hash]float64{}
 }
--- a/internal/request/limiter/verdict.go
+++ b/internal/request/limiter/verdict.go
@@ -39,12 +39,12 @@
 
 	// FleetView is a daemon's view of the fleet members that share the limits.
 	FleetView struct {
-		// Known is the number of fleet members that may send requests, including this one, and
-		// Near the number of those of its region that it hears.
+		// Known is the number of fleet members that may send requests, including this one.
+		// Reachable is the number of those in its region that it hears, also including it.
 		Known     int
 		Reachable int
-		// IsAllocator reports that this member is the limit allocator of its region; Counter is the
-		// address of that allocator otherwise, "" for none.
+		// IsAllocator reports that this member is the limit allocator of its region. Otherwise
+		// Allocator is the address of that allocator, or "" if there is none.
 		IsAllocator bool
 		Allocator   string
 		// Others are the addresses of the allocators of the other regions. An allocator
@@ -72,11 +72,11 @@
 }
 
 // regionShare returns the region's share of a limit.
-func (c FleetView) regionShare() float64 {
-	return float64(c.Reachable) / float64(max(c.Known, c.Reachable, 1))
+func (v FleetView) regionShare() float64 {
+	return float64(v.Reachable) / float64(max(v.Known, v.Reachable, 1))
 }
 
 // ownShare returns the share of a daemon that hears no allocator.
-func (c FleetView) ownShare() float64 {
-	return 1 / float64(max(c.Known, 1))
+func (v FleetView) ownShare() float64 {
+	return 1 / float64(max(v.Known, 1))
 }
--- a/internal/request/looker/looker.go
+++ b/internal/request/looker/looker.go
@@ -30,33 +30,33 @@
 )
 
 // ServeHTTP serves GET /Lookup?Service=…&Block=….
-func (l *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s := l.Snapshot()
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s := h.Snapshot()
 	if s == nil {
-		l.writeError(w, http.StatusServiceUnavailable, ErrorBody{Text: "starting: no settings yet"})
+		h.writeError(w, http.StatusServiceUnavailable, ErrorBody{Text: "starting: no settings yet"})
 		return
 	}
 	q := r.URL.Query()
 	service := resolver.ServiceName(q.Get("Service"))
 	if service == "" {
-		l.writeError(w, http.StatusBadRequest, ErrorBody{"Service", "is missing"})
+		h.writeError(w, http.StatusBadRequest, ErrorBody{"Service", "is missing"})
 		return
 	}
 	if !s.Settings.HasService(service) {
-		l.writeError(w, http.StatusNotFound, ErrorBody{"Service", fmt.Sprintf("no service %q in the settings", service)})
+		h.writeError(w, http.StatusNotFound, ErrorBody{"Service", fmt.Sprintf("no service %q in the settings", service)})
 		return
 	}
 	block, err := parseBlock(q.Get("Block"), r.RemoteAddr)
 	if err != nil {
-		l.writeError(w, http.StatusBadRequest, ErrorBody{"Block", err.Error()})
+		h.writeError(w, http.StatusBadRequest, ErrorBody{"Block", err.Error()})
 		return
 	}
 	response := s.Response(service, s.Find(block))
 	if response == nil {
-		l.writeError(w, http.StatusServiceUnavailable, ErrorBody{"Service", fmt.Sprintf("no entry serves %s now", service)})
+		h.writeError(w, http.StatusServiceUnavailable, ErrorBody{"Service", fmt.Sprintf("no entry serves %s now", service)})
 		return
 	}
-	l.Meter.Count("lookups", measurer.Labels{Service: string(service), Kind: "answered"})
+	h.Meter.Count("lookups", measurer.Labels{Service: string(service), Kind: "answered"})
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(response)
 }
@@ -78,9 +78,9 @@
 	return a, nil
 }
 
-func (l *Handler) writeError(w http.ResponseWriter, status int, p ErrorBody) {
-	l.Meter.Count("lookups", measurer.Labels{Kind: http.StatusText(status)})
+func (h *Handler) writeError(w http.ResponseWriter, status int, body ErrorBody) {
+	h.Meter.Count("lookups", measurer.Labels{Kind: http.StatusText(status)})
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(p)
+	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/request/placer/place.go
+++ b/internal/request/placer/place.go
@@ -152,8 +152,8 @@
 	return l
 }
 
-// Check returns Accepts if the upstream takes a request now, and otherwise the reason it does not.
-// urgent marks a request of the most urgent rank of its service.
+// Check returns Accepts if the upstream takes a request now, and otherwise the reason it does
+// not. urgent marks a request of the most urgent rank of its service.
 func (p Placer) Check(s State, urgent bool) Verdict {
 	queueFactor := normalQueueFactor
 	if urgent || p.Without.Has(switcher.Rank) {
@@ -180,9 +180,9 @@
 // ChooseWithHome is like Choose for a key whose home is the first state. While the home's queue
 // is full, the key either moves (move is true) to an idle upstream, or waits: the index is -1
 // and the request is refused. A key that runs at another upstream without moving there evicts
-// keys from that upstream's cache; after the loss of some upstreams, this keeps all others at
-// the cost of unknown keys long after the loss. Running it at upstreams that ran the key
-// before does not pay off either.
+// keys from that upstream's cache; after the loss of some upstreams, this keeps all others
+// running unknown keys, at several times the work, long after the loss. Running it at
+// upstreams that ran the key before does not pay off either.
 func (p Placer) ChooseWithHome(states []State, urgent bool) (i int, first Verdict, move bool) {
 	i, first = p.Choose(states, urgent)
 	if i <= 0 || !first.overloaded() {
--- a/internal/request/quarantiner/list.go
+++ b/internal/request/quarantiner/list.go
@@ -67,7 +67,7 @@
 	return Lifted{Fingerprint: f.String()}, nil
 }
 
-// Handle registers both paths for operators that need no token.
+// Handle registers handlers of both paths that require no operator token.
 func (q *Quarantiner) Handle(m *http.ServeMux) {
 	m.HandleFunc("GET "+PathList, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, q.List()) })
 	m.HandleFunc("POST "+PathLift, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/request/quarantiner/list_test.go
+++ b/internal/request/quarantiner/list_test.go
@@ -16,14 +16,14 @@
 // lifts the quarantine.
 func TestOperatorsListAndLift(t *testing.T) {
 	is := is.New(t)
-	w := newFleet(2)
-	d := w.daemons[0]
+	f := newFleet(2)
+	d := f.daemons[0]
 	d.crash(fingerprintOf(1))
 	for range 3 {
 		d.crash(crashing)
 	}
-	w.deliver()
-	w.now += timekeeper.Minute
+	f.deliver()
+	f.now += timekeeper.Minute
 	m := http.NewServeMux()
 	d.Handle(m)
 	ask := func(method, path string) *httptest.ResponseRecorder {
@@ -41,8 +41,8 @@
 	is.Equal(ask(http.MethodPost, lift+"xyz").Code, http.StatusBadRequest)
 	is.Equal(ask(http.MethodPost, lift+fingerprintOf(9).String()).Code, http.StatusBadRequest)
 	is.Equal(ask(http.MethodPost, lift+crashing.String()).Code, http.StatusOK)
-	w.deliver()
-	for _, d := range w.daemons {
+	f.deliver()
+	for _, d := range f.daemons {
 		is.True(!d.refused(crashing))
 	}
 }
--- a/internal/request/quarantiner/quarantiner.go
+++ b/internal/request/quarantiner/quarantiner.go
@@ -79,7 +79,7 @@
 }
 
 // Check returns what is known of a request before a run of it, and whether it may be sent.
-// Before is the previous result for the same request by the same caller: a request that was
+// before is the previous result for the same request by the same caller: a request that was
 // let through as a trial stays so until something new is known.
 func (q *Quarantiner) Check(f Fingerprint, before Observation) Observation {
 	q.lock.Lock()
@@ -129,7 +129,7 @@
 	return s
 }
 
-// RecordCrash records that an upstream terminated during a run, where s is the result of Look
+// RecordCrash records that an upstream terminated during a run, where s is the result of Check
 // before that run. It returns what is known now.
 func (q *Quarantiner) RecordCrash(s Observation) Suspect {
 	q.lock.Lock()
--- a/internal/request/quarantiner/quarantiner_test.go
+++ b/internal/request/quarantiner/quarantiner_test.go
@@ -23,22 +23,22 @@
 }
 
 func newFleet(daemons int) *fleet {
-	w := &fleet{now: 1000}
+	f := &fleet{now: 1000}
 	for range daemons {
 		d := &daemon{}
 		d.Quarantiner = &quarantiner.Quarantiner{
-			Clock:    timekeeper.Clock{Monotonic: func() timekeeper.Millis { return w.now }},
+			Clock:    timekeeper.Clock{Monotonic: func() timekeeper.Millis { return f.now }},
 			OnChange: func(c quarantiner.Change) { d.outbox = append(d.outbox, c.Now) },
 		}
-		w.daemons = append(w.daemons, d)
+		f.daemons = append(f.daemons, d)
 	}
-	return w
+	return f
 }
 
 // deliver sends the contents of each outbox to all daemons.
-func (w *fleet) deliver() {
-	for _, d := range w.daemons {
-		for _, o := range w.daemons {
+func (f *fleet) deliver() {
+	for _, d := range f.daemons {
+		for _, o := range f.daemons {
 			o.Merge(d.outbox)
 		}
 		d.outbox = nil
@@ -66,20 +66,20 @@
 }
 
 // TestThirdCrashBarsEverywhere has one crash at each of three daemons, which quarantines the
-// request at all.
+// request at every daemon.
 func TestThirdCrashBarsEverywhere(t *testing.T) {
 	is := is.New(t)
-	w := newFleet(5)
+	f := newFleet(5)
 	for n := range 3 {
-		is.True(w.daemons[n].crash(crashing))
-		w.deliver()
+		is.True(f.daemons[n].crash(crashing))
+		f.deliver()
 	}
-	for _, d := range w.daemons {
+	for _, d := range f.daemons {
 		s := d.Check(crashing, quarantiner.Observation{})
 		is.True(s.Refused)
 		is.Equal(s.After, 2*timekeeper.Minute)
 		is.True(!d.refused(fingerprintOf(1))) // another request
-		is.Equal(d.Digest(), w.daemons[0].Digest())
+		is.Equal(d.Digest(), f.daemons[0].Digest())
 	}
 }
 
@@ -87,77 +87,77 @@
 // none of the runs started after another one had crashed.
 func TestRunsAtOnceCountAsOne(t *testing.T) {
 	is := is.New(t)
-	w := newFleet(3)
+	f := newFleet(3)
 	for range 4 {
 		var begun []quarantiner.Observation
 		for n := range 6 {
-			begun = append(begun, w.daemons[n%3].Check(crashing, quarantiner.Observation{}))
+			begun = append(begun, f.daemons[n%3].Check(crashing, quarantiner.Observation{}))
 		}
 		for n, s := range begun {
 			is.True(!s.Refused)
-			w.daemons[n%3].RecordCrash(s)
-			w.deliver()
+			f.daemons[n%3].RecordCrash(s)
+			f.deliver()
 		}
-		is.True(!w.daemons[0].refused(crashing))
-		w.daemons[1].RecordAnswer(crashing) // an upstream elsewhere responds
-		w.deliver()
+		is.True(!f.daemons[0].refused(crashing))
+		f.daemons[1].RecordAnswer(crashing) // an upstream elsewhere responds
+		f.deliver()
 	}
-	is.True(!w.daemons[2].HasSuspects())
+	is.True(!f.daemons[2].HasSuspects())
 }
 
 // TestAnswerClears has one daemon get a response to a suspect after two crashes.
 func TestAnswerClears(t *testing.T) {
 	is := is.New(t)
-	w := newFleet(2)
+	f := newFleet(2)
 	for range 2 {
-		w.daemons[0].crash(crashing)
+		f.daemons[0].crash(crashing)
 	}
-	stale := w.daemons[0].Suspects()
-	before := w.daemons[0].Check(crashing, quarantiner.Observation{})
-	w.deliver()
-	w.daemons[1].RecordAnswer(crashing)
-	w.deliver()
-	is.True(!w.daemons[0].HasSuspects())
+	stale := f.daemons[0].Suspects()
+	before := f.daemons[0].Check(crashing, quarantiner.Observation{})
+	f.deliver()
+	f.daemons[1].RecordAnswer(crashing)
+	f.deliver()
+	is.True(!f.daemons[0].HasSuspects())
 	// A daemon that missed the clearing is sent it.
-	_, newer := w.daemons[0].Merge(stale)
+	_, newer := f.daemons[0].Merge(stale)
 	is.Equal(len(newer), 1)
-	is.True(!w.daemons[0].HasSuspects())
+	is.True(!f.daemons[0].HasSuspects())
 	// A crash of a run that started before the clearing counts as the first one since.
-	is.Equal(w.daemons[0].RecordCrash(before).Crashes, uint32(1))
+	is.Equal(f.daemons[0].RecordCrash(before).Crashes, uint32(1))
 }
 
 // TestQuarantineIsTriedByOne lets the quarantine period pass. One daemon lets the request
 // through once, and its crash makes the period four times as long for all.
 func TestQuarantineIsTriedByOne(t *testing.T) {
 	is := is.New(t)
-	w := newFleet(3)
-	for n, d := range w.daemons {
+	f := newFleet(3)
+	for n, d := range f.daemons {
 		d.AllowTrial = func(quarantiner.Fingerprint, timekeeper.Millis) bool { return n == 1 }
 	}
 	for range 3 {
-		w.daemons[0].crash(crashing)
+		f.daemons[0].crash(crashing)
 	}
-	w.deliver()
-	w.now += 2*timekeeper.Minute - 1
-	for _, d := range w.daemons {
+	f.deliver()
+	f.now += 2*timekeeper.Minute - 1
+	for _, d := range f.daemons {
 		is.True(d.refused(crashing))
 	}
-	w.now++
-	is.True(w.daemons[0].refused(crashing))
-	s := w.daemons[1].Check(crashing, quarantiner.Observation{})
+	f.now++
+	is.True(f.daemons[0].refused(crashing))
+	s := f.daemons[1].Check(crashing, quarantiner.Observation{})
 	is.True(s.Trial && !s.Refused)
-	is.True(w.daemons[1].refused(crashing))           // while the trial is running
-	is.True(!w.daemons[1].Check(crashing, s).Refused) // for the request that was let through
-	is.Equal(w.daemons[1].RecordCrash(s).Crashes, uint32(4))
-	is.True(w.daemons[1].Check(crashing, s).Refused) // not for another attempt
-	w.deliver()
-	is.Equal(w.daemons[2].Check(crashing, quarantiner.Observation{}).After, 8*timekeeper.Minute)
+	is.True(f.daemons[1].refused(crashing))           // while the trial is running
+	is.True(!f.daemons[1].Check(crashing, s).Refused) // for the request that was let through
+	is.Equal(f.daemons[1].RecordCrash(s).Crashes, uint32(4))
+	is.True(f.daemons[1].Check(crashing, s).Refused) // not for another attempt
+	f.deliver()
+	is.Equal(f.daemons[2].Check(crashing, quarantiner.Observation{}).After, 8*timekeeper.Minute)
 
-	w.now += 8 * timekeeper.Minute
-	is.True(w.daemons[1].Check(crashing, quarantiner.Observation{}).Trial)
-	w.daemons[1].RecordAnswer(crashing)
-	w.deliver()
-	for _, d := range w.daemons {
+	f.now += 8 * timekeeper.Minute
+	is.True(f.daemons[1].Check(crashing, quarantiner.Observation{}).Trial)
+	f.daemons[1].RecordAnswer(crashing)
+	f.deliver()
+	for _, d := range f.daemons {
 		is.True(!d.refused(crashing))
 	}
 }
@@ -166,19 +166,19 @@
 // three.
 func TestSuspectsAreBounded(t *testing.T) {
 	is := is.New(t)
-	w := newFleet(1)
-	d := w.daemons[0]
+	f := newFleet(1)
+	d := f.daemons[0]
 	for range 3 {
 		d.crash(crashing)
 	}
 	for n := range 2000 {
-		w.now++
+		f.now++
 		d.crash(fingerprintOf(n + 1))
 	}
 	is.True(d.refused(crashing))
 	is.Equal(len(d.Suspects()), quarantiner.MaxSuspects/2+1)
 	for n := range 600 {
-		w.now++
+		f.now++
 		for range 3 {
 			d.crash(fingerprintOf(n + 5000))
 		}
@@ -200,31 +200,31 @@
 // TestSuspectsExpire lets time pass without another crash.
 func TestSuspectsExpire(t *testing.T) {
 	is := is.New(t)
-	w := newFleet(2)
-	d := w.daemons[0]
+	f := newFleet(2)
+	d := f.daemons[0]
 	d.crash(fingerprintOf(1))
 	for range 3 {
 		d.crash(crashing)
 	}
-	w.now += 5*timekeeper.Minute + 1
+	f.now += 5*timekeeper.Minute + 1
 	is.Equal(len(d.Suspects()), 1)
 	is.True(d.Suspects()[0].Quarantined()) // although its period is over
-	w.daemons[1].Merge(d.Suspects())
-	w.now += 6 * timekeeper.Hour
+	f.daemons[1].Merge(d.Suspects())
+	f.now += 6 * timekeeper.Hour
 	is.Equal(len(d.Suspects()), 0)
-	is.True(!w.daemons[1].refused(crashing))
+	is.True(!f.daemons[1].refused(crashing))
 	is.Equal(d.Digest(), uint64(0))
 }
 
 // BenchmarkLook measures a request beside a few suspects. Without suspects, only HasSuspects
 // is called.
 func BenchmarkLook(b *testing.B) {
-	w := newFleet(1)
+	f := newFleet(1)
 	for n := range 5 {
-		w.daemons[0].crash(fingerprintOf(n))
+		f.daemons[0].crash(fingerprintOf(n))
 	}
 	for b.Loop() {
-		w.daemons[0].Check(crashing, quarantiner.Observation{})
+		f.daemons[0].Check(crashing, quarantiner.Observation{})
 	}
 }
 
--- a/internal/version/authenticator/credential.go
+++ b/internal/version/authenticator/credential.go
@@ -30,7 +30,7 @@
 	Digest [16]byte
 
 	// CredentialStatus is the reason why a request carries no usable credential, or
-	// Sound.
+	// Valid.
 	CredentialStatus string
 )
 
--- a/internal/version/authenticator/directory.go
+++ b/internal/version/authenticator/directory.go
@@ -63,7 +63,7 @@
 		o := &list[i]
 		o.setHashes()
 		problems = append(problems, o.check()...)
-		if _, twice := d.byHash[o.hash]; twice {
+		if _, exists := d.byHash[o.hash]; exists {
 			problems = append(problems, eris.Errorf("organisation %q is defined twice", o.Name))
 			continue
 		}
--- a/internal/version/planner/mover_test.go
+++ b/internal/version/planner/mover_test.go
@@ -41,49 +41,49 @@
 	if len(problems) > 0 {
 		panic(problems)
 	}
-	w := &fixture{tree: tree, now: 1000}
-	w.load.Work = map[resolver.ServiceName]planner.Demand{service: {}}
-	return w
+	f := &fixture{tree: tree, now: 1000}
+	f.load.Work = map[resolver.ServiceName]planner.Demand{service: {}}
+	return f
 }
 
-func (w *fixture) set(edits ...resolver.Edit) {
-	next, problems := w.tree.Apply(edits)
+func (f *fixture) set(edits ...resolver.Edit) {
+	next, problems := f.tree.Apply(edits)
 	if len(problems) > 0 {
 		panic(problems)
 	}
-	w.tree = next
+	f.tree = next
 }
 
-func (w *fixture) input(inForce bool) planner.Input {
+func (f *fixture) input(inForce bool) planner.Input {
 	return planner.Input{
-		Settings: w.tree.Resolve(),
-		Last:     w.last,
+		Settings: f.tree.Resolve(),
+		Last:     f.last,
 		InForce:  inForce,
-		Load:     w.load,
-		Now:      w.now,
-		Wall:     w.now,
+		Load:     f.load,
+		Now:      f.now,
+		Wall:     f.now,
 	}
 }
 
 // step runs one step and returns the plan before it.
-func (w *fixture) step(inForce bool) planner.Plan {
-	before := w.last
-	next, _ := w.mover.Step(w.input(inForce))
-	w.last = next
-	w.now += 500
+func (f *fixture) step(inForce bool) planner.Plan {
+	before := f.last
+	next, _ := f.mover.Step(f.input(inForce))
+	f.last = next
+	f.now += 500
 	return before
 }
 
-func (w *fixture) share(p planner.Plan, origin, site registrar.Site) float64 {
+func (f *fixture) share(p planner.Plan, origin, site registrar.Site) float64 {
 	d, _ := p.Route(service, origin)
 	return d.Of(string(site)).Fraction()
 }
 
-func (w *fixture) regionShare(p planner.Plan, origin registrar.Site, region string) float64 {
+func (f *fixture) regionShare(p planner.Plan, origin registrar.Site, region string) float64 {
 	var t float64
-	for _, s := range w.tree.Resolve().Sites {
+	for _, s := range f.tree.Resolve().Sites {
 		if s.Region() == region {
-			t += w.share(p, origin, s)
+			t += f.share(p, origin, s)
 		}
 	}
 	return t
@@ -91,94 +91,94 @@
 
 func TestDrainEmptiesASite(t *testing.T) {
 	is := is.New(t)
-	w := newFixture(5)
-	w.step(true)
-	is.Equal(w.share(w.last, "p/a", "p/b"), 0.5)
-	w.set(resolver.Edit{Path: "p/b", Key: resolver.KeyDrain, Value: "true"})
-	start := w.now
-	for w.share(w.last, "p/a", "p/b") > 0 {
-		w.step(true)
-		is.True(w.now-start < 20*timekeeper.Second) // the drain completes
+	f := newFixture(5)
+	f.step(true)
+	is.Equal(f.share(f.last, "p/a", "p/b"), 0.5)
+	f.set(resolver.Edit{Path: "p/b", Key: resolver.KeyDrain, Value: "true"})
+	start := f.now
+	for f.share(f.last, "p/a", "p/b") > 0 {
+		f.step(true)
+		is.True(f.now-start < 20*timekeeper.Second) // the drain completes
 	}
-	is.Equal(w.share(w.last, "p/a", "p/a"), 1.0)
+	is.Equal(f.share(f.last, "p/a", "p/a"), 1.0)
 }
 
 func TestNothingMovesWithoutMeasurements(t *testing.T) {
 	is := is.New(t)
-	w := newFixture(5)
-	w.step(true)
-	w.set(resolver.Edit{Path: "p/b", Key: resolver.KeyDrain, Value: "true"})
-	w.load.Stale = []string{"q"}
-	number := w.last.Number
+	f := newFixture(5)
+	f.step(true)
+	f.set(resolver.Edit{Path: "p/b", Key: resolver.KeyDrain, Value: "true"})
+	f.load.Stale = []string{"q"}
+	number := f.last.Number
 	for range 20 {
-		w.step(true)
+		f.step(true)
 	}
-	is.Equal(w.last.Number, number)
-	is.True(strings.Contains(w.last.Holds[0].Reason, "no fresh measurement from q"))
-	w.load.Stale = nil
+	is.Equal(f.last.Number, number)
+	is.True(strings.Contains(f.last.Holds[0].Reason, "no fresh measurement from q"))
+	f.load.Stale = nil
 	for range 20 {
-		w.step(false) // the last plan is not in force on all daemons
+		f.step(false) // the last plan is not in force on all daemons
 	}
-	is.Equal(w.last.Number, number)
+	is.Equal(f.last.Number, number)
 }
 
 func TestDrainStopsBeforeOverload(t *testing.T) {
 	is := is.New(t)
-	w := newFixture(5) // 20 slots per site, at most 17 in use
-	for _, s := range w.tree.Resolve().Sites {
-		w.load.Work[service][s] = 16
+	f := newFixture(5) // 20 slots per site, at most 17 in use
+	for _, s := range f.tree.Resolve().Sites {
+		f.load.Work[service][s] = 16
 	}
-	w.step(true)
-	w.set(resolver.Edit{Path: "p/b", Key: resolver.KeyDrain, Value: "true"})
+	f.step(true)
+	f.set(resolver.Edit{Path: "p/b", Key: resolver.KeyDrain, Value: "true"})
 	for range 40 {
-		w.step(true)
+		f.step(true)
 	}
-	is.True(w.share(w.last, "p/a", "p/b") > 0.4)
-	is.True(len(w.last.Holds) > 0)
-	is.True(strings.Contains(w.last.Holds[0].Reason, "of the 17 slots it may fill"))
-	is.True(len(planner.Check(w.tree.Resolve(), w.load, w.now)) > 0)
+	is.True(f.share(f.last, "p/a", "p/b") > 0.4)
+	is.True(len(f.last.Holds) > 0)
+	is.True(strings.Contains(f.last.Holds[0].Reason, "of the 17 slots it may fill"))
+	is.True(len(planner.Check(f.tree.Resolve(), f.load, f.now)) > 0)
 }
 
 func TestSpillFillsRoomElsewhere(t *testing.T) {
 	is := is.New(t)
-	w := newFixture(5)
-	for _, s := range w.tree.Resolve().Sites {
-		w.load.Work[service][s] = 10
+	f := newFixture(5)
+	for _, s := range f.tree.Resolve().Sites {
+		f.load.Work[service][s] = 10
 	}
-	w.step(true)
-	w.set(resolver.Edit{Path: "p/b", Key: resolver.KeyDrain, Value: "true"})
+	f.step(true)
+	f.set(resolver.Edit{Path: "p/b", Key: resolver.KeyDrain, Value: "true"})
 	for range 60 {
-		w.step(true)
+		f.step(true)
 	}
-	is.Equal(w.share(w.last, "p/a", "p/b"), 0.0)
-	is.Equal(len(w.last.Holds), 0)
-	is.True(w.regionShare(w.last, "p/a", "q") > 0.05)
-	is.Equal(len(planner.Check(w.tree.Resolve(), w.load, w.now)), 0)
+	is.Equal(f.share(f.last, "p/a", "p/b"), 0.0)
+	is.Equal(len(f.last.Holds), 0)
+	is.True(f.regionShare(f.last, "p/a", "q") > 0.05)
+	is.Equal(len(planner.Check(f.tree.Resolve(), f.load, f.now)), 0)
 }
 
 // TestShiftComesBack removes a shift and expects the plan that preceded it.
 func TestShiftComesBack(t *testing.T) {
 	is := is.New(t)
-	w := newFixture(5)
-	w.step(true)
-	before := w.last.Routes
+	f := newFixture(5)
+	f.step(true)
+	before := f.last.Routes
 	shift := []resolver.Edit{
 		{Path: "p:s", Key: resolver.KeyShiftTo, Value: "q"},
 		{Path: "p:s", Key: resolver.KeyShiftShare, Value: "30%"},
 		{Path: "p:s", Key: resolver.KeyShiftCap, Value: "120%/min"},
 	}
-	undo := w.tree.Inverse(shift)
-	w.set(shift...)
+	undo := f.tree.Inverse(shift)
+	f.set(shift...)
 	for range 60 {
-		w.step(true)
+		f.step(true)
 	}
-	is.True(w.regionShare(w.last, "p/a", "q") > 0.299)
-	w.set(undo...)
+	is.True(f.regionShare(f.last, "p/a", "q") > 0.299)
+	f.set(undo...)
 	for range 60 {
-		w.step(true)
+		f.step(true)
 	}
-	is.Equal(w.last.Routes, before)
-	is.Equal(len(w.last.Shifts), 0)
+	is.Equal(f.last.Routes, before)
+	is.Equal(len(f.last.Shifts), 0)
 }
 
 // TestMixesStayWithinLimits generates loads, shifts, drains, pauses and delayed
@@ -187,14 +187,14 @@
 // minute than its cap.
 func TestMixesStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newFixture(rapid.IntRange(1, 6).Draw(t, "servers"))
-		sites := w.tree.Resolve().Sites
+		f := newFixture(rapid.IntRange(1, 6).Draw(t, "servers"))
+		sites := f.tree.Resolve().Sites
 		for _, s := range sites {
-			w.load.Work[service][s] = float64(rapid.IntRange(0, 24).Draw(t, "work"))
+			f.load.Work[service][s] = float64(rapid.IntRange(0, 24).Draw(t, "work"))
 		}
-		w.step(true)
+		f.step(true)
 		limit := rapid.IntRange(1, 600).Draw(t, "cap")
-		w.set(
+		f.set(
 			resolver.Edit{Path: "p:s", Key: resolver.KeyShiftTo, Value: "q"},
 			resolver.Edit{Path: "p:s", Key: resolver.KeyShiftShare, Value: resolver.Value(fmt.Sprintf("%d%%", rapid.IntRange(1, 100).Draw(t, "share")))},
 			resolver.Edit{Path: "p:s", Key: resolver.KeyShiftCap, Value: resolver.Value(fmt.Sprintf("%d%%/min", limit))},
@@ -208,15 +208,15 @@
 				if on {
 					e.Value = "true"
 				}
-				w.set(e)
+				f.set(e)
 			}
 			if rapid.IntRange(0, 20).Draw(t, "pause") == 0 {
-				w.now += timekeeper.Millis(rapid.IntRange(0, 90000).Draw(t, "length"))
+				f.now += timekeeper.Millis(rapid.IntRange(0, 90000).Draw(t, "length"))
 			}
-			before := w.step(rapid.IntRange(0, 3).Draw(t, "in force") > 0)
-			checkMix(t, w, before)
-			p := w.last.Shift(service, "p", "q")
-			moved = checkCap(t, append(moved, progressAt{w.now, p.Moved}), float64(limit)/100)
+			before := f.step(rapid.IntRange(0, 3).Draw(t, "in force") > 0)
+			checkMix(t, f, before)
+			p := f.last.Shift(service, "p", "q")
+			moved = checkCap(t, append(moved, progressAt{f.now, p.Moved}), float64(limit)/100)
 		}
 	})
 }
@@ -239,13 +239,13 @@
 	return moved
 }
 
-func checkMix(t *rapid.T, w *fixture, before planner.Plan) {
-	r := w.tree.Resolve()
+func checkMix(t *rapid.T, f *fixture, before planner.Plan) {
+	r := f.tree.Resolve()
 	for _, site := range r.Sites {
 		var was, mixed float64
 		rises := false
-		for origin, work := range w.load.Work[service] {
-			a, b := w.share(before, origin, site), w.share(w.last, origin, site)
+		for origin, work := range f.load.Work[service] {
+			a, b := f.share(before, origin, site), f.share(f.last, origin, site)
 			was += work * a
 			mixed += work * max(a, b)
 			rises = rises || b > a
--- a/internal/version/planner/shift.go
+++ b/internal/version/planner/shift.go
@@ -73,6 +73,6 @@
 // that accrues in maxAccrual.
 func accrued(credit, perMinute float64, since timekeeper.Millis) float64 {
 	minutes := float64(since) / float64(timekeeper.Minute)
-	most := perMinute * float64(maxAccrual) / float64(timekeeper.Minute)
-	return min(credit+perMinute*minutes, most)
+	limit := perMinute * float64(maxAccrual) / float64(timekeeper.Minute)
+	return min(credit+perMinute*minutes, limit)
 }
--- a/internal/version/steerer/snapshot.go
+++ b/internal/version/steerer/snapshot.go
@@ -160,8 +160,8 @@
 // once per snapshot.
 func (s *Snapshot) responsesFor(service resolver.ServiceName, site registrar.Site) ([][]byte, error) {
 	k := responseKey{service, site}
-	if a, ok := s.responses[k]; ok {
-		return a, nil
+	if encoded, ok := s.responses[k]; ok {
+		return encoded, nil
 	}
 	members := s.View.Serving(site)
 	set := s.Settings.At(site, service)
@@ -182,7 +182,7 @@
 }
 
 func (s *Snapshot) encodeResponse(set *resolver.Service, members []registrar.Member, first int, fallback []Entry) ([]byte, error) {
-	a := Response{
+	resp := Response{
 		Service:        set.Name,
 		Site:           set.Site,
 		LifetimeMillis: set.LookupLifetime,
@@ -191,21 +191,21 @@
 	}
 	for i := range min(len(members), set.Entries) {
 		m := members[(first+i)%len(members)]
-		a.Entries = append(a.Entries, Entry{Address: m.Callers, Incarnation: m.Incarnation})
+		resp.Entries = append(resp.Entries, Entry{Address: m.Callers, Incarnation: m.Incarnation})
 	}
-	a.Entries = append(a.Entries, fallback...)
-	a.Entries = a.Entries[:min(len(a.Entries), set.Entries)]
+	resp.Entries = append(resp.Entries, fallback...)
+	resp.Entries = resp.Entries[:min(len(resp.Entries), set.Entries)]
 	if s.Self.Callers != "" && s.Self.Site.Region() != set.Site.Region() {
-		a.Entries = append(a.Entries, Entry{Address: s.Self.Callers, Incarnation: s.Self.Incarnation})
+		resp.Entries = append(resp.Entries, Entry{Address: s.Self.Callers, Incarnation: s.Self.Incarnation})
 	}
-	b, err := json.Marshal(a)
+	b, err := json.Marshal(resp)
 	return b, eris.Wrap(err, "encode lookup response")
 }
 
 // fallbackEntries returns further entries of the region, for use when all entries of
 // the site are lost. It returns none if the site itself has enough members.
-func (s *Snapshot) fallbackEntries(site registrar.Site, members []registrar.Member, most int) []Entry {
-	if len(members) >= most {
+func (s *Snapshot) fallbackEntries(site registrar.Site, members []registrar.Member, limit int) []Entry {
+	if len(members) >= limit {
 		return nil
 	}
 	used := map[registrar.Incarnation]bool{}
