--- a/internal/request/assigner/assigner_test.go
+++ b/internal/request/assigner/assigner_test.go
@@ -57,15 +57,15 @@
 
 func key(i int) hasher.Hash { return hasher.OfString(fmt.Sprint("key", i)) }
 
-// maxOverMean returns the maximum number of keys on one upstream divided by the mean.
-func maxOverMean(all []*cataloger.Upstream, keys int, home func(hasher.Hash) *cataloger.Upstream) float64 {
-	n, most := map[*cataloger.Upstream]int{}, 0
+// maxToMeanRatio returns the maximum number of keys on one upstream divided by the mean.
+func maxToMeanRatio(all []*cataloger.Upstream, keys int, home func(hasher.Hash) *cataloger.Upstream) float64 {
+	n, maximum := map[*cataloger.Upstream]int{}, 0
 	for i := range keys {
 		u := home(key(i))
 		n[u]++
-		most = max(most, n[u])
+		maximum = max(maximum, n[u])
 	}
-	return float64(most) * float64(len(all)) / float64(keys)
+	return float64(maximum) * float64(len(all)) / float64(keys)
 }
 
 // TestNewKeysAreSpreadEvenly assigns 450 keys to 24 upstreams. By hash alone, the fullest
@@ -73,7 +73,7 @@
 func TestNewKeysAreSpreadEvenly(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(8, 8, 8)
-	byHash := maxOverMean(f.all, 450, func(k hasher.Hash) *cataloger.Upstream {
+	byHash := maxToMeanRatio(f.all, 450, func(k hasher.Hash) *cataloger.Upstream {
 		return placer.Candidates(nil, k, f.all, anyRegion)[0]
 	})
 	of := map[string]*assigner.Assigner{}
@@ -81,7 +81,7 @@
 		of[r] = f.assigner(r)
 	}
 	i := 0
-	byHome := maxOverMean(f.all, 450, func(k hasher.Hash) *cataloger.Upstream {
+	byHome := maxToMeanRatio(f.all, 450, func(k hasher.Hash) *cataloger.Upstream {
 		i++
 		return of[regions[i%len(regions)]].Home(k, anyRequest, f.all).Upstream
 	})
@@ -246,32 +246,32 @@
 	a := f.assigner("east")
 	a.Regions = []string{"east"}
 	ran := map[hasher.Hash]map[*cataloger.Upstream]bool{}
-	// ask runs all keys on the given upstreams and returns how many ran on one for the first
+	// runAll runs all keys on the given upstreams and returns how many ran on one for the first
 	// time.
-	ask := func(all []*cataloger.Upstream) (anew int) {
+	runAll := func(all []*cataloger.Upstream) (uncached int) {
 		for i := range 200 {
 			f.now += 5
 			u := a.Home(key(i), anyRequest, all).Upstream
 			if !ran[key(i)][u] {
-				anew++
+				uncached++
 			}
 			if ran[key(i)] == nil {
 				ran[key(i)] = map[*cataloger.Upstream]bool{}
 			}
 			ran[key(i)][u] = true
 		}
-		return anew
+		return uncached
 	}
 	first, second := f.all[:8], f.all[8:]
-	is.Equal(ask(f.all), 200)
-	left := ask(first) // about half of them lived in the second
-	is.True(left > 60)
-	ask(f.all)
-	ask(second)
-	ask(f.all)
-	is.True(ask(first) <= left/4)
-	ask(f.all)
-	is.True(ask(second) <= left/4)
+	is.Equal(runAll(f.all), 200)
+	displaced := runAll(first) // about half of the keys had their home in second
+	is.True(displaced > 60)
+	runAll(f.all)
+	runAll(second)
+	runAll(f.all)
+	is.True(runAll(first) <= displaced/4)
+	runAll(f.all)
+	is.True(runAll(second) <= displaced/4)
 }
 
 // TestVisitsAreRemembered records more runs at other upstreams than are kept.
--- a/internal/request/assigner/load_test.go
+++ b/internal/request/assigner/load_test.go
@@ -43,7 +43,7 @@
 	simUpstream struct {
 		running []*job
 		queue   []*job
-		known   []hasher.Hash
+		cached  []hasher.Hash
 	}
 
 	// policy selects an upstream for a key, nil to refuse the request.
@@ -72,15 +72,15 @@
 
 // serviceTime returns how long a key takes and caches it.
 func (m *simUpstream) serviceTime(key hasher.Hash) timekeeper.Millis {
-	for i, k := range m.known {
+	for i, k := range m.cached {
 		if k == key {
-			m.known = append(append(m.known[:i], m.known[i+1:]...), key)
+			m.cached = append(append(m.cached[:i], m.cached[i+1:]...), key)
 			return warmWork
 		}
 	}
-	m.known = append(m.known, key)
-	if len(m.known) > upstreamMemory {
-		m.known = m.known[1:]
+	m.cached = append(m.cached, key)
+	if len(m.cached) > upstreamMemory {
+		m.cached = m.cached[1:]
 	}
 	return coldWork
 }
@@ -100,7 +100,7 @@
 		}
 		return s
 	}
-	asked, inTime := 0, 0
+	sent, inTime := 0, 0
 	for f.now = 0; f.now < loadEnd; f.now++ {
 		if f.now == lostAt {
 			all = all[:16]
@@ -119,7 +119,7 @@
 			continue
 		}
 		if f.now >= measuredFrom && f.now < loadEnd-objective {
-			asked++
+			sent++
 		}
 		k := key(r.IntN(loadKeys))
 		if u := p(k, all, states); u != nil {
@@ -127,7 +127,7 @@
 			m.queue = append(m.queue, &job{key: k, arrived: f.now})
 		}
 	}
-	return float64(inTime) / float64(asked)
+	return float64(inTime) / float64(sent)
 }
 
 // visitPolicy sends a key to the next upstream of its candidates while the first is full.
--- a/internal/request/assigner/placement_test.go
+++ b/internal/request/assigner/placement_test.go
@@ -68,7 +68,7 @@
 	a := f.assigner("east")
 	home := a.Home(key(1), anyRequest, f.all).Upstream
 	other := without(f.all, home)[0]
-	is.Equal(a.Move(key(1), home), assigner.Placement{}) // it lives there
+	is.Equal(a.Move(key(1), home), assigner.Placement{}) // already its home
 	f.now += 1000
 	is.Equal(a.Move(key(1), other), assigner.Placement{Upstream: other, Reason: assigner.HomeFull, Left: home})
 	is.Equal(a.Home(key(1), anyRequest, f.all).Reason, assigner.AtHome)
--- a/internal/request/assigner/shed_test.go
+++ b/internal/request/assigner/shed_test.go
@@ -94,12 +94,12 @@
 	for _, u := range f.all {
 		s.upstreams[u] = &simUpstream{}
 	}
-	asked, inTime := 0, 0
-	judged := func(j *job) bool { return j.arrived >= shedFrom && j.arrived < shedEnd }
+	sent, inTime := 0, 0
+	counted := func(j *job) bool { return j.arrived >= shedFrom && j.arrived < shedEnd }
 	for f.now = 0; f.now < shedEnd+objective; f.now++ {
 		for _, u := range f.all {
 			for _, j := range s.upstreams[u].step(f.now) {
-				if judged(j) && f.now-j.arrived <= objective {
+				if counted(j) && f.now-j.arrived <= objective {
 					inTime++
 				}
 			}
@@ -108,11 +108,11 @@
 			continue
 		}
 		if f.now >= shedFrom && f.now < shedEnd {
-			asked++
+			sent++
 		}
 		s.send(key(s.random.IntN(loadKeys)))
 	}
-	return float64(inTime) / float64(asked)
+	return float64(inTime) / float64(sent)
 }
 
 // TestRefusedRequestsStayAtHome checks that requests refused by upstreams with room are better
--- a/internal/request/limiter/fleet_test.go
+++ b/internal/request/limiter/fleet_test.go
@@ -65,10 +65,10 @@
 
 	// fleetView is what the reachable daemons know about each other at a time.
 	fleetView struct {
-		at      timekeeper.Millis
-		heard   int
-		near    []int
-		leaders []int
+		at             timekeeper.Millis
+		totalReachable int
+		reachable      []int
+		leaders        []int
 	}
 
 	daemon struct {
@@ -80,7 +80,7 @@
 
 	// outcomes holds the outcomes of the requests of one organisation.
 	outcomes struct {
-		asked, admitted, refusedBelow []timekeeper.Millis
+		requested, admitted, refusedWithinLimit []timekeeper.Millis
 		// ideal is a single bucket that all daemons share without any delay.
 		ideal tokenBucket
 		// peakExcess is the maximum number of requests admitted beyond the rate and the burst
@@ -218,14 +218,14 @@
 // refreshView updates the view, as heartbeats do.
 func (f *fleet) refreshView() {
 	const viewInterval = 100 * timekeeper.Millis(1)
-	if f.view.near != nil && f.now-f.view.at < viewInterval {
+	if f.view.reachable != nil && f.now-f.view.at < viewInterval {
 		return
 	}
-	f.view = fleetView{at: f.now, near: make([]int, f.regions), leaders: make([]int, f.regions)}
+	f.view = fleetView{at: f.now, reachable: make([]int, f.regions), leaders: make([]int, f.regions)}
 	for d := range f.daemons {
 		if f.believedAlive(d, leaderTimeout) {
-			f.view.heard++
-			f.view.near[f.region(d)]++
+			f.view.totalReachable++
+			f.view.reachable[f.region(d)]++
 		}
 	}
 	for r := range f.regions {
@@ -236,26 +236,26 @@
 // viewOf returns a daemon's view of the fleet.
 func (f *fleet) viewOf(d int) limiter.FleetView {
 	f.refreshView()
-	c := limiter.FleetView{Known: len(f.daemons), Reachable: max(f.view.near[f.region(d)], 1)}
+	v := limiter.FleetView{Known: len(f.daemons), Reachable: max(f.view.reachable[f.region(d)], 1)}
 	leader := f.view.leaders[f.region(d)]
-	c.Isolated = f.view.heard <= 1 && len(f.daemons) > 1
+	v.Isolated = f.view.totalReachable <= 1 && len(f.daemons) > 1
 	if f.daemons[d].isolated {
 		isolatedFor := f.now - f.daemons[d].since
-		c.Isolated = isolatedFor >= livenessTimeout
+		v.Isolated = isolatedFor >= livenessTimeout
 		if isolatedFor >= leaderTimeout {
 			leader = d
 		}
 	}
 	if leader != d && leader >= 0 {
-		c.Allocator = strconv.Itoa(leader)
+		v.Allocator = strconv.Itoa(leader)
 	}
-	c.IsAllocator = c.Allocator == ""
+	v.IsAllocator = v.Allocator == ""
 	for r, l := range f.view.leaders {
 		if r != f.region(d) && l >= 0 {
-			c.Others = append(c.Others, strconv.Itoa(l))
+			v.Others = append(v.Others, strconv.Itoa(l))
 		}
 	}
-	return c
+	return v
 }
 
 // kill terminates a daemon, isolate isolates one, and restore brings either back.
@@ -286,7 +286,7 @@
 		return
 	}
 	c := &f.counts[o]
-	c.asked = append(c.asked, f.now)
+	c.requested = append(c.requested, f.now)
 	limit := f.organisations[o].Limit
 	// When the ideal bucket runs empty, it admits other requests than a strategy does. Only
 	// requests refused while it holds at least a quarter of the burst count.
@@ -296,7 +296,7 @@
 		case admitted:
 			c.admit(f.now, limit, f.tolerance.Window)
 		case ideal:
-			c.refusedBelow = append(c.refusedBelow, f.now)
+			c.refusedWithinLimit = append(c.refusedWithinLimit, f.now)
 		}
 	})
 }
--- a/internal/request/limiter/limits_test.go
+++ b/internal/request/limiter/limits_test.go
@@ -14,7 +14,7 @@
 
 // result holds the cost of a load and its violations.
 type result struct {
-	asked, refusedBelow int
+	requested, refusedWithinLimit int
 	// maxExcess is the maximum by which any organisation exceeded its limit and tolerance.
 	maxExcess float64
 	// messages and bytes are per daemon and second.
@@ -24,8 +24,8 @@
 func (f *fleet) result(length timekeeper.Millis) (g result) {
 	g.maxExcess = math.Inf(-1)
 	for o := range f.organisations {
-		g.asked += len(f.counts[o].asked)
-		g.refusedBelow += len(f.counts[o].refusedBelow)
+		g.requested += len(f.counts[o].requested)
+		g.refusedWithinLimit += len(f.counts[o].refusedWithinLimit)
 		g.maxExcess = max(g.maxExcess, f.maxExcess(o))
 	}
 	per := float64(len(f.daemons)) * float64(length) / float64(second)
@@ -98,11 +98,11 @@
 		f := newFleet(n, seed, all...)
 		f.strategy = strategies[name](f)
 		one := simulateLoad(f, demands, faults)
-		g.asked, g.refusedBelow = g.asked+one.asked, g.refusedBelow+one.refusedBelow
+		g.requested, g.refusedWithinLimit = g.requested+one.requested, g.refusedWithinLimit+one.refusedWithinLimit
 		g.maxExcess = max(g.maxExcess, one.maxExcess)
 		g.messages, g.bytes = g.messages+one.messages/seeds, g.bytes+one.bytes/seeds
 	}
-	b.ReportMetric(100*float64(g.refusedBelow)/float64(g.asked), "%below")
+	b.ReportMetric(100*float64(g.refusedWithinLimit)/float64(g.requested), "%below")
 	b.ReportMetric(g.maxExcess, "above")
 	b.ReportMetric(g.messages, "messages/VM/s")
 	b.ReportMetric(g.bytes, "bytes/VM/s")
@@ -122,7 +122,7 @@
 				g := simulateLoad(f, demands, faults)
 				is.True(g.maxExcess <= 0)
 				if !faults {
-					is.True(float64(g.refusedBelow) <= 0.001*float64(g.asked))
+					is.True(float64(g.refusedWithinLimit) <= 0.001*float64(g.requested))
 				}
 			})
 		}
@@ -160,7 +160,7 @@
 	f.run(29 * second)
 	is.True(f.maxExcess(0) <= 0 && f.maxExcess(1) <= 0)
 	is.True(len(f.counts[0].admitted) >= 15) // of 20 in 20 s
-	is.Equal(len(f.counts[2].admitted), len(f.counts[2].asked))
+	is.Equal(len(f.counts[2].admitted), len(f.counts[2].requested))
 }
 
 // TestPartsFollowCallers has all callers of an organisation move to one region. After a second
@@ -178,12 +178,12 @@
 	f.generate(0, 100, 20*second, in(2))
 	f.run(21 * second)
 	late := 0
-	for _, at := range f.counts[0].refusedBelow {
+	for _, at := range f.counts[0].refusedWithinLimit {
 		if at > moved+second {
 			late++
 		}
 	}
-	is.True(len(f.counts[0].refusedBelow) <= 10)
+	is.True(len(f.counts[0].refusedWithinLimit) <= 10)
 	is.Equal(late, 0)
 }
 
--- a/internal/version/locator/table_test.go
+++ b/internal/version/locator/table_test.go
@@ -75,18 +75,18 @@
 	s := httptest.NewServer(&platform.Server{})
 	defer s.Close()
 	ctx := context.Background()
-	left := 2
+	remaining := 2
 	c := &storer.Client{Address: s.URL, Do: func(q *http.Request) (*http.Response, error) {
-		if left == 0 {
+		if remaining == 0 {
 			return nil, errors.New("connection interrupted")
 		}
-		left--
+		remaining--
 		return http.DefaultClient.Do(q)
 	}}
 	_, err := locator.Save(ctx, c, "one", strings.NewReader(blocks(100001)))
 	is.True(err != nil)
 
-	left = 100
+	remaining = 100
 	_, err = locator.Save(ctx, c, "one", strings.NewReader("10.0.0.0/8 r9/d9\n"+blocks(100001)))
 	is.True(errors.Is(err, storer.ErrConflict))
 	n, err := locator.Save(ctx, c, "one", strings.NewReader(blocks(100001)))
--- a/internal/version/planner/loss_test.go
+++ b/internal/version/planner/loss_test.go
@@ -50,23 +50,23 @@
 			for _, d := range []registrar.Site{"michigan/a", "michigan/b"} {
 				l.Add("s", d, c.michigan)
 			}
-			losses, rooms := planner.Losses(lossTree(t), l, 0)
+			losses, headroom := planner.Losses(lossTree(t), l, 0)
 			is.Equal(len(losses), 6)
 			for _, x := range losses {
 				if want, ok := c.covered[x.Lost]; ok && x.Covered() != want {
 					t.Errorf("%s: covered %v %+v", x.Lost, x.Covered(), x)
 				}
 			}
-			is.Equal(len(rooms), 2)
-			is.Equal(rooms[0].Region, "erie")
-			t.Logf("%+v", rooms)
-			is.True(near(rooms[0].Now, c.now))
-			is.True(rooms[0].After < rooms[0].Now)
+			is.Equal(len(headroom), 2)
+			is.Equal(headroom[0].Region, "erie")
+			t.Logf("%+v", headroom)
+			is.True(approxEqual(headroom[0].Now, c.now))
+			is.True(headroom[0].After < headroom[0].Now)
 		})
 	}
 }
 
-func near(a, b float64) bool { return a-b < 0.02 && b-a < 0.02 }
+func approxEqual(a, b float64) bool { return a-b < 0.02 && b-a < 0.02 }
 
 // TestUnservedLoss predicts the loss of the only site of a service.
 func TestUnservedLoss(t *testing.T) {
