--- a/internal/request/forwarder/keyed.go
+++ b/internal/request/forwarder/keyed.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// replay gives a repeated key the response to its first request, once that has ended.
+// replay gives a duplicate key the response to its first request, once that has ended.
 func (f *Forwarder) replay(ctx context.Context, c *exchanger.Call, r *keykeeper.Record) exchanger.Result {
 	if c.Deadline > 0 {
 		var cancel context.CancelFunc
--- a/internal/request/keykeeper/keeper_test.go
+++ b/internal/request/keykeeper/keeper_test.go
@@ -65,7 +65,7 @@
 	r, _ = k.Begin("refused", 1)
 	k.End("refused", r, exchanger.Refused(exchanger.ReasonQueueFull, 0), nil)
 	_, v = k.Begin("refused", 1)
-	is.Equal(v, keykeeper.Begun) // what did not run may be tried again
+	is.Equal(v, keykeeper.Begun) // what did not run may be retried
 
 	now.Add(int64(keykeeper.DefaultRetention))
 	_, v = k.Begin("unknown", 2)
