--- a/internal/standin/caller/load.go
+++ b/internal/standin/caller/load.go
@@ -154,6 +154,8 @@
 	return l.running.Load()
 }
 
+// runOne sends a request, retries it while it is refused with a retry time, and records the
+// outcome.
 func (l *Load) runOne(s *Stream, token string, post bool, block string) {
 	defer l.active.Done()
 	defer l.running.Add(-1)
@@ -198,6 +200,8 @@
 // errTruncated means that a response ended early.
 var errTruncated = errors.New("cut")
 
+// verifyResponse reads the body of a response and compares it with the expected one. It returns
+// errTruncated for a response that ended early, and nil if there is no response.
 func verifyResponse(resp finder.Response, token string, body []byte, length int64) error {
 	if resp.Body == nil {
 		return nil
--- a/internal/standin/delayer/conn.go
+++ b/internal/standin/delayer/conn.go
@@ -55,94 +55,95 @@
 }
 
 func newPipe(delay time.Duration) *pipe {
-	l := &pipe{delay: delay}
-	l.changed = sync.NewCond(&l.lock)
-	return l
+	p := &pipe{delay: delay}
+	p.changed = sync.NewCond(&p.lock)
+	return p
 }
 
 // enqueue adds data to be delivered after the delay. It blocks while the pipe is full.
-func (l *pipe) enqueue(b []byte) error {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	for l.buffered >= maxInFlightBytes && l.err == nil {
-		l.changed.Wait()
+func (p *pipe) enqueue(b []byte) error {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	for p.buffered >= maxInFlightBytes && p.err == nil {
+		p.changed.Wait()
 	}
-	if l.err != nil {
-		return l.err
+	if p.err != nil {
+		return p.err
 	}
-	l.chunks = append(l.chunks, chunk{append([]byte(nil), b...), time.Now().Add(l.delay)})
-	l.buffered += len(b)
-	l.changed.Broadcast()
+	p.chunks = append(p.chunks, chunk{append([]byte(nil), b...), time.Now().Add(p.delay)})
+	p.buffered += len(b)
+	p.changed.Broadcast()
 	return nil
 }
 
 // closeWith makes reads return err once the data in flight has been read.
-func (l *pipe) closeWith(err error) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if l.err == nil {
-		l.err = err
+func (p *pipe) closeWith(err error) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if p.err == nil {
+		p.err = err
 	}
-	l.changed.Broadcast()
+	p.changed.Broadcast()
 }
 
 // dequeue reads data whose delay has passed and blocks until there is some.
-func (l *pipe) dequeue(b []byte) (int, error) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+func (p *pipe) dequeue(b []byte) (int, error) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	for {
-		if !l.deadline.IsZero() && !time.Now().Before(l.deadline) {
+		if !p.deadline.IsZero() && !time.Now().Before(p.deadline) {
 			return 0, os.ErrDeadlineExceeded
 		}
-		if len(l.chunks) == 0 && l.err != nil {
-			return 0, l.err
+		if len(p.chunks) == 0 && p.err != nil {
+			return 0, p.err
 		}
-		if len(l.chunks) > 0 {
-			wait := time.Until(l.chunks[0].due)
+		if len(p.chunks) > 0 {
+			wait := time.Until(p.chunks[0].due)
 			if wait <= 0 {
-				return l.readFirst(b), nil
+				return p.readFirst(b), nil
 			}
-			l.wakeAfter(wait)
+			p.wakeAfter(wait)
 		}
-		l.changed.Wait()
+		p.changed.Wait()
 	}
 }
 
-func (l *pipe) readFirst(b []byte) int {
-	p := &l.chunks[0]
-	n := copy(b, p.bytes)
-	p.bytes = p.bytes[n:]
-	l.buffered -= n
-	if len(p.bytes) == 0 {
-		l.chunks = l.chunks[1:]
+func (p *pipe) readFirst(b []byte) int {
+	first := &p.chunks[0]
+	n := copy(b, first.bytes)
+	first.bytes = first.bytes[n:]
+	p.buffered -= n
+	if len(first.bytes) == 0 {
+		p.chunks = p.chunks[1:]
 	}
-	l.changed.Broadcast()
+	p.changed.Broadcast()
 	return n
 }
 
-func (l *pipe) wakeAfter(d time.Duration) {
+// wakeAfter wakes the waiting readers after d.
+func (p *pipe) wakeAfter(d time.Duration) {
 	time.AfterFunc(d, func() {
-		l.lock.Lock()
-		defer l.lock.Unlock()
-		l.changed.Broadcast()
+		p.lock.Lock()
+		defer p.lock.Unlock()
+		p.changed.Broadcast()
 	})
 }
 
-func (l *pipe) setDeadline(t time.Time) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	l.deadline = t
-	if l.timer != nil {
-		l.timer.Stop()
+func (p *pipe) setDeadline(t time.Time) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.deadline = t
+	if p.timer != nil {
+		p.timer.Stop()
 	}
 	if !t.IsZero() {
-		l.timer = time.AfterFunc(time.Until(t), func() {
-			l.lock.Lock()
-			defer l.lock.Unlock()
-			l.changed.Broadcast()
+		p.timer = time.AfterFunc(time.Until(t), func() {
+			p.lock.Lock()
+			defer p.lock.Unlock()
+			p.changed.Broadcast()
 		})
 	}
-	l.changed.Broadcast()
+	p.changed.Broadcast()
 }
 
 func (c *conn) runIn() {
--- a/internal/standin/demonstrator/deployment.go
+++ b/internal/standin/demonstrator/deployment.go
@@ -36,11 +36,14 @@
 		drainDomain resolver.Path
 	}
 
+	// siteDaemons is the number of daemons at a site.
 	siteDaemons struct {
 		site  registrar.Site
 		count int
 	}
 
+	// serviceSpec describes a service and its upstreams. Slots is the number of slots of each
+	// upstream; the other fields are as in server.Server.
 	serviceSpec struct {
 		name          resolver.ServiceName
 		class         resolver.Class
--- a/internal/standin/demonstrator/report.go
+++ b/internal/standin/demonstrator/report.go
@@ -66,7 +66,7 @@
 		Reasons  map[string]uint64 `json:",omitempty"`
 	}
 
-	// RegionUse is the peak slot usage of a region.
+	// RegionUse is the peak slot usage of a region: Mean over usageWindow, Moment at any moment.
 	RegionUse struct {
 		Region string
 		Mean   float64
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -179,6 +179,7 @@
 	return s.Store.put(name, body, c)
 }
 
+// dropResponse reports whether the response to a write of an object is to be lost.
 func (s *Server) dropResponse(name string) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -190,6 +191,8 @@
 	return true
 }
 
+// parseCondition returns the condition in the header of a write. It reports false if there is no
+// valid one.
 func parseCondition(r *http.Request) (condition, bool) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return condition{absent: true}, true
@@ -217,7 +220,7 @@
 	timeout := time.NewTimer(timekeeper.Millis(waitMillis).Duration())
 	defer timeout.Stop()
 	for {
-		b, changed := s.Store.since(q["Prefix"], storer.Revision(since))
+		b, changed := s.Store.changedSince(q["Prefix"], storer.Revision(since))
 		if len(b.Objects) > 0 {
 			writeJSON(w, b)
 			return
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -17,7 +17,8 @@
 		changed  chan struct{}
 	}
 
-	// condition is the precondition of a write.
+	// condition is the precondition of a write: the object does not exist if absent is set, and
+	// has the expected revision otherwise.
 	condition struct {
 		absent   bool
 		expected storer.Revision
@@ -31,7 +32,7 @@
 	return o, ok
 }
 
-// put writes an object. It returns false if the condition does not hold.
+// put writes an object. It reports false if the condition does not hold.
 func (s *Store) put(name string, body []byte, c condition) (storer.Revision, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -90,9 +91,9 @@
 	return b
 }
 
-// since returns the objects with one of the prefixes that changed after a
+// changedSince returns the objects with one of the prefixes that changed after a
 // revision, and a channel that is closed at the next write.
-func (s *Store) since(prefixes []string, since storer.Revision) (storer.Batch, <-chan struct{}) {
+func (s *Store) changedSince(prefixes []string, since storer.Revision) (storer.Batch, <-chan struct{}) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	b := storer.Batch{Revision: s.revision}
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -58,16 +58,16 @@
 		LagMillis timekeeper.Millis
 		Seed      uint64
 
-		cpu       sync.Mutex
-		busy      atomic.Int64
-		peak      atomic.Int64
-		served    atomic.Int64
-		shed      atomic.Int64
-		probes    atomic.Int64
-		conns     atomic.Int64
-		draining  atomic.Bool
-		drainedAt atomic.Int64
-		late      atomic.Int64
+		cpu            sync.Mutex
+		busy           atomic.Int64
+		peak           atomic.Int64
+		served         atomic.Int64
+		shed           atomic.Int64
+		probes         atomic.Int64
+		conns          atomic.Int64
+		draining       atomic.Bool
+		drainStartedAt atomic.Int64
+		late           atomic.Int64
 
 		lock         sync.Mutex
 		random       *rand.Rand
@@ -78,14 +78,17 @@
 
 	// Counts holds the counters and the journal of a server.
 	Counts struct {
-		Name    string
-		Slots   int
-		Peak    int64
-		Served  int64
-		Shed    int64
-		Probes  int64
-		Conns   int64
-		Late    int64
+		Name   string
+		Slots  int
+		Peak   int64
+		Served int64
+		Shed   int64
+		Probes int64
+		Conns  int64
+		// Late counts the requests that arrived later than lateThreshold after the start of
+		// a drain.
+		Late int64
+		// Journal holds how often each token ran.
 		Journal map[string]int
 	}
 )
@@ -114,7 +117,7 @@
 
 // Drain starts or ends draining.
 func (s *Server) Drain(on bool) {
-	s.drainedAt.Store(time.Now().UnixNano())
+	s.drainStartedAt.Store(time.Now().UnixNano())
 	s.draining.Store(on)
 }
 
@@ -188,7 +191,7 @@
 const lateThreshold = 2 * time.Second
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	if s.draining.Load() && time.Now().UnixNano()-s.drainedAt.Load() > int64(lateThreshold) {
+	if s.draining.Load() && time.Now().UnixNano()-s.drainStartedAt.Load() > int64(lateThreshold) {
 		s.late.Add(1)
 	}
 	if n := s.busy.Add(1); n > int64(s.Slots) {
@@ -217,6 +220,7 @@
 	s.writeResponse(w, r, token, body, release)
 }
 
+// updatePeak raises the peak to the number of busy slots.
 func (s *Server) updatePeak() {
 	for {
 		n := s.busy.Load()
@@ -248,6 +252,8 @@
 	}
 }
 
+// drawServiceTime returns the service time of the next request, which is twice as long during the
+// cold start.
 func (s *Server) drawServiceTime() time.Duration {
 	s.lock.Lock()
 	if s.random == nil {
--- a/test/deadly_test.go
+++ b/test/deadly_test.go
@@ -34,7 +34,8 @@
 	crashingUpstreams struct {
 		t    *testing.T
 		lock sync.Mutex
-		// arrivals holds the times at which /deadly reached an upstream, crashes those at which one crashed.
+		// arrivals holds the times at which /deadly reached an upstream, crashes those at which
+		// one crashed.
 		arrivals, crashes []time.Time
 		live              map[string]*httptest.Server
 		closed            bool
@@ -113,8 +114,8 @@
 	if len(u.crashes) < maxLateArrivals {
 		return 0, len(u.crashes)
 	}
-	known := u.crashes[2].Add(propagationTime)
-	lateArrivals := slices.DeleteFunc(slices.Clone(u.arrivals), func(t time.Time) bool { return t.Before(known) })
+	allKnow := u.crashes[2].Add(propagationTime)
+	lateArrivals := slices.DeleteFunc(slices.Clone(u.arrivals), func(t time.Time) bool { return t.Before(allKnow) })
 	return len(lateArrivals), len(u.crashes)
 }
 
@@ -144,7 +145,8 @@
 	return outcomes
 }
 
-// startCrashingFleet starts two daemons in each of two regions and four crashing upstreams per region.
+// startCrashingFleet starts two daemons in each of two regions and four crashing upstreams per
+// region.
 func startCrashingFleet(t *testing.T) (*crashingUpstreams, []*daemon) {
 	address := startPlatform(t)
 	u, upstreams := startCrashingUpstreams(t, 8)
@@ -181,7 +183,7 @@
 			lateArrivals, crashes := u.lateArrivals()
 			t.Log(crashes, "upstream crashes; outcomes:", outcomes)
 			is.True(crashes >= maxLateArrivals)
-			is.True(lateArrivals <= maxLateArrivals) // forwarded although all daemons had to know about it
+			is.True(lateArrivals <= maxLateArrivals) // ran although all daemons had to know
 			var listed quarantiner.Listing
 			is.Equal(daemons[3].callOperator(http.MethodGet, quarantiner.PathList, nil, &listed), http.StatusOK)
 			is.Equal(len(listed.Suspects), 1)
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -170,6 +170,7 @@
 	return n
 }
 
+// waitLeader waits until exactly one of the daemons is the leader and returns it first.
 func waitLeader(t *testing.T, daemons ...*daemon) (current *daemon, others []*daemon) {
 	t.Helper()
 	eventually(t, "one daemon is the leader", func() bool {
@@ -236,7 +237,8 @@
 	eventually(t, "the outage is noticed", func() bool {
 		return !all[0].status().Platform
 	})
-	time.Sleep(12 * time.Second) // longer than any lease or membership is valid; waits for no condition
+	// Longer than any lease or membership is valid; waits for no condition.
+	time.Sleep(12 * time.Second)
 	load.waitProgress()
 	is.Equal(totalSlots(all...), 12.0)
 
@@ -326,10 +328,10 @@
 	})
 	eventually(t, "the other is the only member", func() bool { return b.status().Members == 1 })
 	number := b.setAndWait(1, "31")
-	p, err := http.Get("http://" + a.callers + "/Lookup?Service=keg-ledger")
+	resp, err := http.Get("http://" + a.callers + "/Lookup?Service=keg-ledger")
 	is.NoErr(err)
-	p.Body.Close()
-	is.Equal(p.StatusCode, http.StatusOK) // serves the last known settings
+	resp.Body.Close()
+	is.Equal(resp.StatusCode, http.StatusOK) // serves the last known settings
 	is.Equal(a.status().Settings, before)
 	for _, p := range []*proxy{platformProxy, pa, pb} {
 		if err := p.Start(); err != nil {
--- a/test/keys_test.go
+++ b/test/keys_test.go
@@ -130,14 +130,14 @@
 	resp, err := http.Get("http://" + rest[0].callers + "/Outcome?Key=" + lostIncarnation + ".0")
 	is.NoErr(err)
 	defer resp.Body.Close()
-	var a forwarder.OutcomeResponse
-	is.NoErr(json.NewDecoder(resp.Body).Decode(&a))
-	is.Equal(a.Outcome, "unknown")
+	var found forwarder.OutcomeResponse
+	is.NoErr(json.NewDecoder(resp.Body).Decode(&found))
+	is.Equal(found.Outcome, "unknown")
 	second, err := http.Get("http://" + rest[0].callers + "/Outcome?Key=" + keys[3])
 	is.NoErr(err)
 	defer second.Body.Close()
-	is.NoErr(json.NewDecoder(second.Body).Decode(&a))
-	is.Equal(a.Outcome, "answered") // possibly after a redirect to the home
+	is.NoErr(json.NewDecoder(second.Body).Decode(&found))
+	is.Equal(found.Outcome, "answered") // possibly after a redirect to the home
 }
 
 func incarnationOf(t *testing.T, d *daemon) string {
--- a/test/loss_test.go
+++ b/test/loss_test.go
@@ -44,7 +44,8 @@
 	return startDomainsWithServiceTime(t, slots, 5, names...)
 }
 
-// startDomainsWithServiceTime is startDomains with a mean service time of the upstreams in milliseconds.
+// startDomainsWithServiceTime is startDomains with a mean service time of the upstreams in
+// milliseconds.
 func startDomainsWithServiceTime(t *testing.T, slots int, serviceMillis float64, names ...string) []*failureDomain {
 	t.Helper()
 	address := startPlatform(t)
@@ -96,7 +97,8 @@
 	return startCallersWithPosts(t, rate, 0.3, domains)
 }
 
-// startCallersWithPosts is startCallers with the given fraction of POST requests, which must not run twice.
+// startCallersWithPosts is startCallers with the given fraction of POST requests, which must not
+// run twice.
 func startCallersWithPosts(t *testing.T, rate, postFraction float64, domains []*failureDomain) (stop func()) {
 	t.Helper()
 	var seeds []string
@@ -166,8 +168,8 @@
 	// No request is refused because of the loss once it is known.
 	is.Equal(notRunTotal(domains), before)
 	stop()
-	// The journals are read when no request is in flight: a request that finished after the read would
-	// count as answered without having run.
+	// The journals are read when no request is in flight: a request that finished after the read
+	// would count as answered without having run.
 	for _, d := range domains {
 		d.load.Wait()
 	}
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -131,7 +131,8 @@
 	b.ReportMetric(after.residentKB/n, "rss-KB")
 }
 
-// BenchmarkLead reports the traffic of the leader as its region grows; most-link-B/s is the leader's.
+// BenchmarkLead reports the traffic of the leader as its region grows; most-link-B/s is the
+// leader's.
 func BenchmarkLead(b *testing.B) {
 	for _, n := range []int{10, 20, 40, 71} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -305,13 +306,13 @@
 	d.applySettings(1, fmt.Sprintf("[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 1000\n", upstream))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	get := func(to string, n int) time.Duration {
-		q, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/x?Token=t%d&Bytes=600", to, n), nil)
+		req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/x?Token=t%d&Bytes=600", to, n), nil)
 		if err != nil {
 			b.Fatal(err)
 		}
-		q.Header.Set("Gullvale-Service", "keg-ledger")
+		req.Header.Set("Gullvale-Service", "keg-ledger")
 		began := time.Now()
-		resp, err := client.Do(q)
+		resp, err := client.Do(req)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/test/owner_test.go
+++ b/test/owner_test.go
@@ -84,5 +84,6 @@
 	eventually(t, "no slots of the upstream are owned", func() bool { return d.ownedSlots() == 6 })
 	load.waitProgress()
 	load.stopAndVerify(upstreams...)
-	is.Equal(upstreamCounts(t, upstreams[0]).Late, int64(0)) // no new request more than 2 s after the drain began
+	// No new request arrived more than 2 s after the drain began.
+	is.Equal(upstreamCounts(t, upstreams[0]).Late, int64(0))
 }
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -34,11 +34,11 @@
 	lookup, err := http.Get("http://" + d.callers + "/Lookup?Service=keg-ledger&Block=10.1.2.0/24")
 	is.NoErr(err)
 	defer lookup.Body.Close()
-	var answer steerer.Response
-	is.NoErr(json.NewDecoder(lookup.Body).Decode(&answer))
-	is.Equal(answer.Entries[0].Address, d.callers)
-	is.Equal(string(answer.Site), "erie/a")
-	is.True(answer.LifetimeMillis > 0)
+	var found steerer.Response
+	is.NoErr(json.NewDecoder(lookup.Body).Decode(&found))
+	is.Equal(found.Entries[0].Address, d.callers)
+	is.Equal(string(found.Site), "erie/a")
+	is.True(found.LifetimeMillis > 0)
 
 	body := "one keg back"
 	var resp *http.Response
@@ -197,7 +197,8 @@
 	is.Equal(len(log.Changes), 2)
 }
 
-// TestBadSettingsStartNothing starts a daemon with an invalid settings file, whose problems must all be listed.
+// TestBadSettingsStartNothing starts a daemon with an invalid settings file, whose problems must
+// all be listed.
 func TestBadSettingsStartNothing(t *testing.T) {
 	is := is.New(t)
 	file := t.TempDir() + "/bad.toml"
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -21,7 +21,7 @@
 // The defaults keep the randomised run short and its seed fixed.
 var (
 	randomSeed  = flag.Uint64("random.seed", 20261202, "seed of TestRandomFaults")
-	randomSteps = flag.Int("random.steps", 8, "faults of TestRandomFaults")
+	randomSteps = flag.Int("random.steps", 8, "number of faults that TestRandomFaults injects")
 )
 
 // faultRun is a fleet and the faults injected into it.
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -10,8 +10,8 @@
 	"github.com/gullvale/gullvale/internal/standin/signer"
 )
 
-// TestEncryptedLinks runs a fleet with TLS on its links and rotates keys and authority under load. A
-// daemon with a certificate of the old authority must not become a member afterwards.
+// TestEncryptedLinks runs a fleet with TLS on its links and rotates keys and authority under load.
+// A daemon with a certificate of the old authority must not become a member afterwards.
 func TestEncryptedLinks(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
