--- a/internal/standin/caller/load.go
+++ b/internal/standin/caller/load.go
@@ -198,7 +198,7 @@
 }
 
 // errTruncated means that a response ended early.
-var errTruncated = errors.New("cut")
+var errTruncated = errors.New("response truncated")
 
 // verifyResponse reads the body of a response and compares it with the expected one. It returns
 // errTruncated for a response that ended early, and nil if there is no response.
--- a/internal/standin/demonstrator/fleet.go
+++ b/internal/standin/demonstrator/fleet.go
@@ -89,6 +89,7 @@
 	return f, f.applySettings(ctx)
 }
 
+// serve starts an HTTP server on a loopback port and returns its address.
 func (f *fleet) serve(s *http.Server) (string, error) {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -132,6 +133,7 @@
 	return nil
 }
 
+// saveBlocks writes the block table, which maps the client blocks to sites, to the platform.
 func (f *fleet) saveBlocks(ctx context.Context) error {
 	var b strings.Builder
 	for n, site := range f.deployment.sites() {
@@ -184,6 +186,7 @@
 	}
 }
 
+// dialDelayed opens a connection with a one-way delay.
 func dialDelayed(ctx context.Context, address string, delay time.Duration) (net.Conn, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", address)
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -449,7 +449,7 @@
 		entry, proxy = a, pb
 	}
 	proxy.Stop()
-	answers := func() bool {
+	served := func() bool {
 		resp, err := entry.send(t.Context(), http.MethodGet, "keg-ledger", "/item?Bytes=40&Token=t", http.NoBody)
 		if err != nil {
 			return false
@@ -457,9 +457,9 @@
 		defer resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	}
-	eventually(t, "the other entry answers", answers)
+	eventually(t, "the other entry answers", served)
 	for range 50 {
-		if !answers() {
+		if !served() {
 			t.Fatal("not answered")
 		}
 	}
@@ -467,7 +467,7 @@
 	time.Sleep(leader.MemberTimeout.Duration() + time.Second)
 	eventually(t, "both are members", func() bool { return a.status().Members == 2 && b.status().Valid && a.status().Valid })
 	a.setAndWait(2, "44")
-	if !answers() {
+	if !served() {
 		t.Fatal("not answered after the heartbeat timeout")
 	}
 }
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -112,6 +112,8 @@
 	close(p.exited)
 }
 
+// kill kills the process, even if it is suspended. The test fails if the process reported a data
+// race.
 func (p *process) kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	if p.t.Failed() {
@@ -197,18 +199,21 @@
 	}
 }
 
+// startPlatform starts a stand-in platform and returns its URL.
 func startPlatform(t testing.TB) string {
 	t.Helper()
 	p := startProcess(t, "gullvale-standin", "platform")
 	return "http://" + p.waitField("Address")["Address"].(string)
 }
 
+// startUpstream starts a stand-in upstream and returns its address.
 func startUpstream(t testing.TB, args ...string) string {
 	t.Helper()
 	p := startProcess(t, "gullvale-standin", append([]string{"upstream", "--service-millis", "5"}, args...)...)
 	return p.waitField("Address")["Address"].(string)
 }
 
+// startDaemon starts a daemon and waits until it listens.
 func startDaemon(t testing.TB, o daemonOptions) *daemon {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), o.name+".toml")
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -23,6 +23,7 @@
 // The benchmarks in this file start real processes and run in real time:
 // go test -run xxx -bench . ./test/
 
+// Units of the values in /proc.
 const (
 	ticksPerSecond = 100
 	pageKB         = 4
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -26,13 +26,16 @@
 
 // faultRun is a fleet and the faults injected into it.
 type faultRun struct {
-	t           *testing.T
-	random      *rand.Rand
-	platform    string
-	daemons     []*daemon
-	proxies     []*proxy
-	paused      map[int]bool
-	blocked     map[int]bool
+	t        *testing.T
+	random   *rand.Rand
+	platform string
+	daemons  []*daemon
+	proxies  []*proxy
+	// paused holds the indexes of suspended daemons, blocked those of daemons whose links drop
+	// data.
+	paused  map[int]bool
+	blocked map[int]bool
+	// lastNumbers holds the last number in force by incarnation and kind of number.
 	lastNumbers map[string]float64
 	// fenceHolders maps a lease and its fence to the incarnation that held it.
 	fenceHolders map[string]string
