--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -170,6 +170,7 @@
 	return n
 }
 
+// waitLeader waits until exactly one of the daemons is the leader and returns it first.
 func waitLeader(t *testing.T, daemons ...*daemon) (current *daemon, others []*daemon) {
 	t.Helper()
 	eventually(t, "one daemon is the leader", func() bool {
@@ -236,7 +237,8 @@
 	eventually(t, "the outage is noticed", func() bool {
 		return !all[0].status().Platform
 	})
-	time.Sleep(12 * time.Second) // longer than any lease or membership is valid; waits for no condition
+	// Longer than any lease or membership is valid; waits for no condition.
+	time.Sleep(12 * time.Second)
 	load.waitProgress()
 	is.Equal(totalSlots(all...), 12.0)
 
@@ -326,10 +328,10 @@
 	})
 	eventually(t, "the other is the only member", func() bool { return b.status().Members == 1 })
 	number := b.setAndWait(1, "31")
-	p, err := http.Get("http://" + a.callers + "/Lookup?Service=keg-ledger")
+	resp, err := http.Get("http://" + a.callers + "/Lookup?Service=keg-ledger")
 	is.NoErr(err)
-	p.Body.Close()
-	is.Equal(p.StatusCode, http.StatusOK) // serves the last known settings
+	resp.Body.Close()
+	is.Equal(resp.StatusCode, http.StatusOK) // serves the last known settings
 	is.Equal(a.status().Settings, before)
 	for _, p := range []*proxy{platformProxy, pa, pb} {
 		if err := p.Start(); err != nil {
@@ -447,7 +449,7 @@
 		entry, proxy = a, pb
 	}
 	proxy.Stop()
-	answers := func() bool {
+	served := func() bool {
 		resp, err := entry.send(t.Context(), http.MethodGet, "keg-ledger", "/item?Bytes=40&Token=t", http.NoBody)
 		if err != nil {
 			return false
@@ -455,9 +457,9 @@
 		defer resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	}
-	eventually(t, "the other entry answers", answers)
+	eventually(t, "the other entry answers", served)
 	for range 50 {
-		if !answers() {
+		if !served() {
 			t.Fatal("not answered")
 		}
 	}
@@ -465,7 +467,7 @@
 	time.Sleep(leader.MemberTimeout.Duration() + time.Second)
 	eventually(t, "both are members", func() bool { return a.status().Members == 2 && b.status().Valid && a.status().Valid })
 	a.setAndWait(2, "44")
-	if !answers() {
+	if !served() {
 		t.Fatal("not answered after the heartbeat timeout")
 	}
 }
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -21,18 +21,21 @@
 // The defaults keep the randomised run short and its seed fixed.
 var (
 	randomSeed  = flag.Uint64("random.seed", 20261202, "seed of TestRandomFaults")
-	randomSteps = flag.Int("random.steps", 8, "faults of TestRandomFaults")
+	randomSteps = flag.Int("random.steps", 8, "number of faults that TestRandomFaults injects")
 )
 
 // faultRun is a fleet and the faults injected into it.
 type faultRun struct {
-	t           *testing.T
-	random      *rand.Rand
-	platform    string
-	daemons     []*daemon
-	proxies     []*proxy
-	paused      map[int]bool
-	blocked     map[int]bool
+	t        *testing.T
+	random   *rand.Rand
+	platform string
+	daemons  []*daemon
+	proxies  []*proxy
+	// paused holds the indexes of suspended daemons, blocked those of daemons whose links drop
+	// data.
+	paused  map[int]bool
+	blocked map[int]bool
+	// lastNumbers holds the last number in force by incarnation and kind of number.
 	lastNumbers map[string]float64
 	// fenceHolders maps a lease and its fence to the incarnation that held it.
 	fenceHolders map[string]string
