--- a/internal/process/heartbeater/heartbeater.go
+++ b/internal/process/heartbeater/heartbeater.go
@@ -36,8 +36,8 @@
 	// after it announced this, and a member that stops relying on its leader needs
 	// part of that time to read from the store itself.
 	maxStoreAge = 1500 * timekeeper.Millis(1)
-	// maxReportedStoreAge is the longest time since the store's last response that a heartbeat
-	// reports.
+
+	// maxReportedStoreAge is the longest store age that a heartbeat reports.
 	maxReportedStoreAge = timekeeper.Hour
 
 	// forgetTimeout is the silence after which a member is no longer sent heartbeats.
@@ -71,10 +71,11 @@
 		Incarnation uint64
 		Site        registrar.Site
 		// Front is the address for callers, Beats the address for datagrams.
-		Front    string
-		Beats    string
-		Ready    bool
-		Leaving  bool
+		Front   string
+		Beats   string
+		Ready   bool
+		Leaving bool
+		// Reaching reports whether the member reaches the store.
 		Reaching bool
 		// Strength is the capacity of the VM, in any unit that all members share.
 		// Stronger members come first in the leader order, since a leader's cost
@@ -100,15 +101,16 @@
 		Self func() Member
 		// Seeds are datagram addresses of members whose names need not be known.
 		Seeds []string
-		Send  func(address string, datagram []byte)
+		// Send sends a datagram to an address. Losses are tolerated.
+		Send func(address string, datagram []byte)
 		// Watermarks returns the watermark of each kind: the revision up to which its
 		// changes are known here. May be nil.
 		Watermarks func() map[string]uint64
 		// StoreAge returns the time since the store last responded to a watch. Nil means
 		// that it is always zero.
 		StoreAge func() timekeeper.Millis
-		// OnWatermark is called with each watermark of the leader, Relayed with the changes
-		// it relays. Both may be nil.
+		// OnWatermark is called with each watermark of the leader, OnChanges with the
+		// changes it relays. Both may be nil.
 		OnWatermark func(kind string, revision uint64)
 		OnChanges   func(Changes)
 		// ChangesAfter returns the known changes of a kind after a revision, in order and
@@ -121,12 +123,12 @@
 		// announced as terminated. May be nil.
 		Ended func(cataloger.Incarnation)
 		// Quarantine holds the requests suspected of crashing upstreams, which members
-		// share. Nil disables sharing. Suspected is called with the changes learned from
+		// share. Nil disables sharing. OnSuspects is called with the changes learned from
 		// other members; it may be nil.
 		Quarantine *quarantiner.Quarantiner
 		OnSuspects func([]quarantiner.Change)
-		// OnLimitMessage is called with each message about limits and its sender's address. May
-		// be nil.
+		// OnLimitMessage is called with each message about limits and its sender's address.
+		// May be nil.
 		OnLimitMessage func(from string, m limiter.Message)
 		// OnTraffic is called with the size of each datagram sent or received. May be nil.
 		OnTraffic func(Traffic)
@@ -243,7 +245,7 @@
 		b.OnHomes(assignments(h))
 	}
 	if d.Ended != nil {
-		b.handleEnded(d.Ended)
+		b.handleTerminated(d.Ended)
 	}
 	if d.Suspects != nil {
 		b.handleSuspects(d.Suspects)
--- a/internal/process/heartbeater/heartbeater_test.go
+++ b/internal/process/heartbeater/heartbeater_test.go
@@ -40,11 +40,11 @@
 }
 
 // add adds a member with the given seeds.
-func (n *network) add(name string, site registrar.Site, knows ...string) *member {
+func (n *network) add(name string, site registrar.Site, seeds ...string) *member {
 	m := &member{self: heartbeater.Member{Name: name, Site: site, Front: "front-" + name, Beats: name, Ready: true, Reaching: true}}
 	m.Heartbeater = &heartbeater.Heartbeater{
 		Self:      func() heartbeater.Member { return m.self },
-		Seeds:     knows,
+		Seeds:     seeds,
 		Clock:     timekeeper.Clock{Monotonic: func() timekeeper.Millis { return n.now }},
 		OnChanges: func(c heartbeater.Changes) { m.relayed = append(m.relayed, c) },
 		Send: func(to string, d []byte) {
@@ -117,8 +117,8 @@
 	n := newNetwork()
 	addFleet(n, 24)
 	n.rounds(12)
-	lead := n.leaders("east")[0]
-	n.members[lead].dead = true
+	leader := n.leaders("east")[0]
+	n.members[leader].dead = true
 	n.members["m07"].dead = true
 	// A lookup may name a dead member for 7 s; these rounds take 4.5 s.
 	n.rounds(9)
@@ -128,7 +128,7 @@
 			continue
 		}
 		for _, a := range m.Alive() {
-			is.True(a.Name != lead && a.Name != "m07")
+			is.True(a.Name != leader && a.Name != "m07")
 		}
 	}
 }
@@ -152,10 +152,10 @@
 	n := newNetwork()
 	addFleet(n, 12)
 	n.rounds(12)
-	lead := n.members[n.leaders("east")[0]]
+	leader := n.members[n.leaders("east")[0]]
 	stale := timekeeper.Millis(0)
-	lead.StoreAge = func() timekeeper.Millis { return stale }
-	led := func() (count int) {
+	leader.StoreAge = func() timekeeper.Millis { return stale }
+	followers := func() (count int) {
 		for _, m := range n.members {
 			if m.self.Site.Region() == "east" && m.FollowsLeader() {
 				count++
@@ -164,10 +164,10 @@
 		return count
 	}
 	n.rounds(1)
-	is.Equal(led(), 5)
+	is.Equal(followers(), 5)
 	stale = 1600
 	n.rounds(1)
-	is.Equal(led(), 0)
+	is.Equal(followers(), 0)
 }
 
 func TestRelayReachesTheRegion(t *testing.T) {
@@ -175,11 +175,11 @@
 	n := newNetwork()
 	addFleet(n, 12)
 	n.rounds(12)
-	lead := n.leaders("east")[0]
-	n.members[lead].Relay(heartbeater.Changes{Kind: "k", From: 3, To: 5, Body: []byte("x")})
-	n.members[lead].Relay(heartbeater.Changes{Kind: "k", From: 5, To: 6, Body: make([]byte, 100<<10)})
+	leader := n.leaders("east")[0]
+	n.members[leader].Relay(heartbeater.Changes{Kind: "k", From: 3, To: 5, Body: []byte("x")})
+	n.members[leader].Relay(heartbeater.Changes{Kind: "k", From: 5, To: 6, Body: make([]byte, 100<<10)})
 	for _, m := range n.members {
-		if m.self.Site.Region() != "east" || m.self.Name == lead {
+		if m.self.Site.Region() != "east" || m.self.Name == leader {
 			is.Equal(len(m.relayed), 0)
 			continue
 		}
@@ -195,13 +195,13 @@
 	n := newNetwork()
 	addFleet(n, 12)
 	n.rounds(12)
-	lead := n.members[n.leaders("east")[0]]
-	lead.ChangesAfter = func(kind string, from uint64) []heartbeater.Changes {
+	leader := n.members[n.leaders("east")[0]]
+	leader.ChangesAfter = func(kind string, from uint64) []heartbeater.Changes {
 		return []heartbeater.Changes{{Kind: kind, From: from, To: from + 1}, {Kind: kind, From: from + 1, To: from + 4}}
 	}
-	is.True(!lead.Ask("k", 3)) // the leader has no other to ask
+	is.True(!leader.Ask("k", 3)) // the leader has no other to ask
 	for _, m := range n.members {
-		if m.self.Site.Region() == "east" && m != lead {
+		if m.self.Site.Region() == "east" && m != leader {
 			is.True(m.Ask("k", 7))
 			is.Equal(m.relayed, []heartbeater.Changes{{Kind: "k", From: 7, To: 8}, {Kind: "k", From: 8, To: 11}})
 		}
--- a/internal/process/heartbeater/leader.go
+++ b/internal/process/heartbeater/leader.go
@@ -96,8 +96,9 @@
 	return best
 }
 
-// precedes reports whether x comes before y in the leader order. xo and yo break ties.
-func precedes(x Member, xo hasher.Hash, y Member, yo hasher.Hash) bool {
+// precedes reports whether x comes before y in the leader order. The hashes of their names
+// break ties.
+func precedes(x Member, xHash hasher.Hash, y Member, yHash hasher.Hash) bool {
 	if x.Reaching != y.Reaching {
 		return x.Reaching
 	}
@@ -107,5 +108,5 @@
 	if x.Strength != y.Strength {
 		return x.Strength > y.Strength
 	}
-	return xo < yo
+	return xHash < yHash
 }
--- a/internal/process/heartbeater/limits.go
+++ b/internal/process/heartbeater/limits.go
@@ -8,30 +8,30 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// census is a limiter.FleetView under construction.
-type census limiter.FleetView
+// fleetView is a limiter.FleetView under construction.
+type fleetView limiter.FleetView
 
 // Census returns what this member knows of the members that share limits with it.
 func (b *Heartbeater) Census() limiter.FleetView {
-	return limiter.FleetView(b.census())
+	return limiter.FleetView(b.fleetView())
 }
 
-func (b *Heartbeater) census() census {
+func (b *Heartbeater) fleetView() fleetView {
 	self := b.Self()
 	now := b.Clock.Now()
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	c := census{Known: 1, Reachable: 1}
-	hears := false
+	c := fleetView{Known: 1, Reachable: 1}
+	anyAlive := false
 	best := map[string]*knownMember{}
 	for _, k := range b.members {
-		lives := now-max(k.lastAlive, k.confirmed) < leaderTimeout
-		if k.Leaving && !lives {
-			continue // it shut down in order and sends nothing any more
+		alive := now-max(k.lastAlive, k.confirmed) < leaderTimeout
+		if k.Leaving && !alive {
+			continue // it has shut down gracefully
 		}
 		c.Known++
-		hears = hears || lives
-		if !lives {
+		anyAlive = anyAlive || alive
+		if !alive {
 			continue
 		}
 		r := k.Site.Region()
@@ -42,13 +42,13 @@
 			best[r] = k
 		}
 	}
-	c.Isolated = c.Known > 1 && !hears
+	c.Isolated = c.Known > 1 && !anyAlive
 	c.setAllocators(self, best)
 	return c
 }
 
 // setAllocators sets the limit allocators of all regions, given the best other member of each.
-func (c *census) setAllocators(self Member, best map[string]*knownMember) {
+func (c *fleetView) setAllocators(self Member, best map[string]*knownMember) {
 	own := self.Site.Region()
 	if l := best[own]; l != nil && allocatesBefore(l.Member, l.nameHash, self, hasher.OfString(self.Name)) {
 		c.Allocator = l.Beats
@@ -65,9 +65,9 @@
 // allocatesBefore reports whether x is preferred to y as limit allocator. Unlike the leader
 // order, it ignores who reaches the store: allocation needs no store, and during an outage of
 // the store members disagree on who reaches it and so on who leads.
-func allocatesBefore(x Member, xo hasher.Hash, y Member, yo hasher.Hash) bool {
+func allocatesBefore(x Member, xHash hasher.Hash, y Member, yHash hasher.Hash) bool {
 	x.Reaching, y.Reaching = true, true
-	return precedes(x, xo, y, yo)
+	return precedes(x, xHash, y, yHash)
 }
 
 // SendLimit sends a message about limits.
--- a/internal/process/heartbeater/limits_test.go
+++ b/internal/process/heartbeater/limits_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestCensus cuts off a member. The others still count it as known but no longer as near, and the
-// member itself reports that it is alone.
+// TestCensus cuts off a member. The others still count it as known but no longer as reachable,
+// and the member itself reports that it is isolated.
 func TestCensus(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
--- a/internal/process/heartbeater/start_test.go
+++ b/internal/process/heartbeater/start_test.go
@@ -192,18 +192,18 @@
 // withoutLeader returns the number of members of a region without a leader to relay changes to
 // them, each of which watches the store itself. Leaders after the first count too.
 func (n *timedNetwork) withoutLeader(region string) (withoutLeader int) {
-	leads := 0
+	leaders := 0
 	for _, m := range n.members {
 		switch {
 		case m.dead || m.self.Site.Region() != region:
 		case m.IsLeader():
-			leads++
+			leaders++
 		case !m.FollowsLeader():
 			withoutLeader++
 		}
 	}
-	if leads > 1 {
-		withoutLeader += leads - 1
+	if leaders > 1 {
+		withoutLeader += leaders - 1
 	}
 	return withoutLeader
 }
--- a/internal/process/heartbeater/suspects_test.go
+++ b/internal/process/heartbeater/suspects_test.go
@@ -74,7 +74,7 @@
 					n.members[fmt.Sprintf("m%02d", i)].reportCrash()
 					n.announce()
 				}
-				told := sent
+				announced := sent
 				late := 0
 				for ; !n.barredByAll(); late++ {
 					is.True(late*round < 4000)
@@ -83,7 +83,7 @@
 					n.rounds(1)
 				}
 				is.True(loss > 0 || late == 0)
-				t.Log(size, "members:", told, "datagrams for three crashes,", bytes, "bytes in all, all know after", late, "heartbeats")
+				t.Log(size, "members:", announced, "datagrams for three crashes,", bytes, "bytes in all, all know after", late, "heartbeats")
 			})
 		}
 	}
--- a/internal/process/heartbeater/terminated.go
+++ b/internal/process/heartbeater/terminated.go
@@ -13,9 +13,9 @@
 	b.broadcast(b.Self(), &Datagram{Ended: m}, &Datagram{Ended: far})
 }
 
-// handleEnded handles an announcement of terminated upstreams and, if asked to, forwards it to
-// the members of this region.
-func (b *Heartbeater) handleEnded(m *Ended) {
+// handleTerminated handles an announcement of terminated upstreams and, if asked to, forwards
+// it to the members of this region.
+func (b *Heartbeater) handleTerminated(m *Ended) {
 	if b.Ended != nil {
 		for _, i := range incarnations(m) {
 			b.Ended(i)
--- a/internal/process/heartbeater/traffic.go
+++ b/internal/process/heartbeater/traffic.go
@@ -6,14 +6,14 @@
 
 // The purposes of datagrams.
 const (
-	BeatPurpose    Purpose = "beat"
-	RelayPurpose   Purpose = "relay"
-	HomesPurpose   Purpose = "homes"
-	AskPurpose     Purpose = "ask"
-	EndedPurpose   Purpose = "ended"
-	SuspectPurpose Purpose = "suspects"
-	TokensPurpose  Purpose = "tokens"
-	UnknownPurpose Purpose = "unknown datagram"
+	BeatPurpose       Purpose = "beat"
+	RelayPurpose      Purpose = "relay"
+	HomesPurpose      Purpose = "homes"
+	AskPurpose        Purpose = "ask"
+	TerminatedPurpose Purpose = "ended"
+	SuspectPurpose    Purpose = "suspects"
+	TokensPurpose     Purpose = "tokens"
+	UnknownPurpose    Purpose = "unknown datagram"
 )
 
 type (
@@ -41,7 +41,7 @@
 	case d.Ask != nil:
 		return AskPurpose
 	case d.Ended != nil:
-		return EndedPurpose
+		return TerminatedPurpose
 	case d.Suspects != nil:
 		return SuspectPurpose
 	case d.Tokens != nil:
--- a/internal/process/heartbeater/traffic_test.go
+++ b/internal/process/heartbeater/traffic_test.go
@@ -33,11 +33,11 @@
 	clear(sent) // distances are unknown until the members know each other
 	clear(received)
 	n.rounds(2)
-	lead := n.members[n.leaders("east")[0]]
-	lead.Relay(heartbeater.Changes{Kind: "k", From: 1, To: 2, Body: []byte("changes")})
-	lead.Announce([]assigner.Assignment{{Key: 1, Upstream: 2, Version: 3}})
+	leader := n.members[n.leaders("east")[0]]
+	leader.Relay(heartbeater.Changes{Kind: "k", From: 1, To: 2, Body: []byte("changes")})
+	leader.Announce([]assigner.Assignment{{Key: 1, Upstream: 2, Version: 3}})
 	for _, m := range n.members {
-		if m.self.Site.Region() == "east" && m != lead {
+		if m.self.Site.Region() == "east" && m != leader {
 			is.True(m.Ask("k", 7))
 		}
 	}
@@ -48,6 +48,6 @@
 		is.Equal(sent[trafficKey{p, registrar.OtherRegion}] > 0, p == heartbeater.BeatPurpose)
 		is.Equal(sent[trafficKey{p, registrar.UnknownDistance}], int64(0))
 	}
-	lead.Receive("nobody", []byte("\xff\xff\xff"))
+	leader.Receive("nobody", []byte("\xff\xff\xff"))
 	is.Equal(received[trafficKey{heartbeater.UnknownPurpose, registrar.UnknownDistance}], int64(3))
 }
