--- a/internal/process/claimer/claimer.go
+++ b/internal/process/claimer/claimer.go
@@ -16,7 +16,8 @@
 	// claimInterval is the time between two claims of an upstream that is not yet released.
 	claimInterval = 150 * time.Millisecond
 
-	// notGranted is the response to a claim that cannot be granted now.
+	// notGranted is returned in place of the number of running requests when a claim
+	// cannot be granted now.
 	notGranted = -1
 )
 
--- a/internal/process/joiner/joiner.go
+++ b/internal/process/joiner/joiner.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// minHeartbeatInterval is the shortest interval between two heartbeats without changes, and
+	// minHeartbeatInterval is the shortest interval between two heartbeats without changes,
 	// maxHeartbeatInterval the longest that a leader may ask for: three fit into Validity.
 	minHeartbeatInterval = timekeeper.Second
 	maxHeartbeatInterval = 2500 * timekeeper.Millis(1)
@@ -27,7 +27,7 @@
 	Validity = 8 * timekeeper.Second
 
 	// leaseCheckInterval is the time between two checks of a member that does not try to
-	// acquire the lease, because its leader is healthy or Shun reports true.
+	// acquire the lease, because its leader is healthy or AvoidLeading reports true.
 	leaseCheckInterval = 500 * time.Millisecond
 
 	// maxUnacknowledged is the maximum number of heartbeats awaiting acknowledgement.
@@ -44,10 +44,11 @@
 		Links *linker.Manager
 		// FillHeartbeat fills in a heartbeat.
 		FillHeartbeat func(*framer.Heartbeat)
-		// Lead is called when this daemon acquires or loses the leader's lease.
-		Lead func(leaser.Fence, bool)
-		// HandleOwnHeartbeat handles the heartbeats that this daemon sends to itself while it
-		// leads.
+		// OnLeadershipChange is called when this daemon acquires or loses the leader's
+		// lease, with the fence and whether the lease is held.
+		OnLeadershipChange func(leaser.Fence, bool)
+		// HandleOwnHeartbeat handles the heartbeats that this daemon sends to itself while
+		// it leads.
 		HandleOwnHeartbeat func(*framer.Heartbeat) *framer.Ack
 		// AvoidLeading reports whether this daemon must not acquire the leader's lease now.
 		AvoidLeading func() bool
@@ -177,7 +178,7 @@
 		wait := j.stepLease(ctx)
 		fence, held := j.Lease.Held()
 		if held != wasHeld {
-			j.Lead(fence, held)
+			j.OnLeadershipChange(fence, held)
 			wasHeld = held
 			j.TriggerHeartbeat()
 		}
--- a/internal/process/leader/leader.go
+++ b/internal/process/leader/leader.go
@@ -92,9 +92,9 @@
 	l.cursors = map[*linker.Session]*cursor{}
 }
 
-// Lead starts the leader's duties when the lease is acquired and stops them when it
-// is lost.
-func (l *Leader) Lead(ctx context.Context, fence leaser.Fence, held bool) {
+// SetLeading starts the leader's duties when the lease is acquired and stops them when
+// it is lost.
+func (l *Leader) SetLeading(ctx context.Context, fence leaser.Fence, held bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.cancel != nil {
@@ -174,7 +174,7 @@
 	}
 }
 
-// wakeDuties wakes runDuties.
+// wakeDuties makes runDuties update the roster and the summary ahead of schedule.
 func (l *Leader) wakeDuties() {
 	select {
 	case l.wake <- struct{}{}:
--- a/internal/process/leader/members.go
+++ b/internal/process/leader/members.go
@@ -25,8 +25,8 @@
 	MemberTimeout = 9 * timekeeper.Second
 
 	// maxHeartbeatsPerSecond is the highest rate of heartbeats that a leader asks its
-	// region for. With 71 members, the region size planned for two years ahead,
-	// each sends one every 2.2 s, and three of them fit into joiner.Validity.
+	// region for. With 71 members, the largest region planned for, each sends one
+	// every 2.2 s, and three of them fit into joiner.Validity.
 	maxHeartbeatsPerSecond = 32
 
 	// formerLeaderTimeout is how long a former leader has to send a heartbeat as an ordinary
@@ -57,7 +57,7 @@
 	memberRecord struct {
 		member        registrar.Member
 		lastHeartbeat timekeeper.Millis
-		// summaryRevision is the wall time at which the member was admitted.
+		// since is the wall time at which the member was admitted.
 		since      timekeeper.Millis
 		settings   recorder.Number
 		plan       planner.Number
@@ -87,9 +87,9 @@
 }
 
 // adoptRoster adds the members of a roster written by an earlier leader. Each has the
-// full MemberTimeout from now to send a heartbeat, except the previous leader, whose
+// full MemberTimeout from now to send a heartbeat, except previousLeader, whose
 // membership ended with its lease and which has only formerLeaderTimeout.
-func (m *members) adoptRoster(r registrar.Roster, before registrar.Incarnation, now timekeeper.Millis) {
+func (m *members) adoptRoster(r registrar.Roster, previousLeader registrar.Incarnation, now timekeeper.Millis) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	for _, x := range r.Members {
@@ -97,7 +97,7 @@
 			continue
 		}
 		lastHeartbeat := now
-		if x.Incarnation == before {
+		if x.Incarnation == previousLeader {
 			lastHeartbeat = now - MemberTimeout + formerLeaderTimeout
 		}
 		m.all[x.Incarnation] = &memberRecord{member: x, lastHeartbeat: lastHeartbeat, leaving: x.Leaving, since: x.SinceMillis}
@@ -170,10 +170,10 @@
 func (m *members) removeExpired(now, wall timekeeper.Millis) []registrar.Member {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	var gone []registrar.Member
+	var removed []registrar.Member
 	for i, r := range m.all {
 		if r.terminated || now-r.lastHeartbeat >= MemberTimeout {
-			gone = append(gone, r.member)
+			removed = append(removed, r.member)
 			m.past = append(m.past, registrar.FormerMember{Incarnation: i, SinceMillis: r.since, GoneMillis: wall})
 			delete(m.all, i)
 			if !r.leaving {
@@ -183,7 +183,7 @@
 	}
 	m.damper.Prune(now)
 	m.past = slices.DeleteFunc(m.past, func(p registrar.FormerMember) bool { return p.GoneMillis < wall-registrar.HistoryRetention })
-	return gone
+	return removed
 }
 
 // markTerminated marks a member as terminated unless it sent a heartbeat after since.
@@ -267,8 +267,8 @@
 	}
 }
 
-// roundSignificant rounds f to three significant digits, more than the averages are accurate
-// to.
+// roundSignificant rounds f to significantDigits, which is finer than the accuracy of the
+// averages.
 func roundSignificant(f float64) float64 {
 	if f <= 0 {
 		return 0
--- a/internal/process/leader/plan.go
+++ b/internal/process/leader/plan.go
@@ -30,8 +30,8 @@
 		summaries map[string]observedSummary
 		// summaryRevision is the revision up to which summaries were read.
 		summaryRevision storer.Revision
-		// last is the plan as last read or written, at its revision. Both are valid
-		// only if known is set.
+		// last is the plan as last read or written, at the revision of its object. Both
+		// are valid only if known is set.
 		last  planner.Plan
 		at    storer.Revision
 		known bool
@@ -90,8 +90,9 @@
 	return fence
 }
 
-// Broken returns the number of broken invariants of both leases.
-func (l *Leader) Broken() uint64 {
+// FenceRegressions returns the number of fence regressions of both leases, each of which
+// breaks an invariant.
+func (l *Leader) FenceRegressions() uint64 {
 	n := l.Lease.FenceRegressions()
 	if lease := l.planner.Load(); lease != nil {
 		n += lease.FenceRegressions()
--- a/internal/process/runner/daemon.go
+++ b/internal/process/runner/daemon.go
@@ -272,7 +272,7 @@
 		Lease:              lease,
 		Links:              d.links,
 		FillHeartbeat:      d.fillHeartbeat,
-		Lead:               func(f leaser.Fence, held bool) { d.leader.Lead(d.base, f, held) },
+		OnLeadershipChange: func(f leaser.Fence, held bool) { d.leader.SetLeading(d.base, f, held) },
 		HandleOwnHeartbeat: d.handleOwnHeartbeat,
 		AvoidLeading:       d.avoidsLeading,
 	}
--- a/internal/process/runner/gauges.go
+++ b/internal/process/runner/gauges.go
@@ -29,7 +29,7 @@
 		"plan_number":       float64(s.Plan.Number),
 		"settings_rejected": float64(d.applier.Rejected()),
 		"in_flight":         float64(d.forwarder.InFlight()),
-		"invariants_broken": float64(d.leader.Broken()),
+		"invariants_broken": float64(d.leader.FenceRegressions()),
 		"member_valid":      boolGauge(d.joiner.Valid()),
 		"lead":              boolGauge(leads),
 		"link_bytes_in":     float64(c.LinkBytesIn),
--- a/internal/process/runner/status.go
+++ b/internal/process/runner/status.go
@@ -99,7 +99,7 @@
 
 		Fence:            fence,
 		PlannerFence:     d.leader.PlannerFence(),
-		InvariantsBroken: d.leader.Broken(),
+		InvariantsBroken: d.leader.FenceRegressions(),
 	}
 	for k, p := range d.owner.Pools() {
 		l := p.Load()
--- a/internal/process/runner/sync.go
+++ b/internal/process/runner/sync.go
@@ -94,7 +94,8 @@
 }
 
 // syncPeers reads from every listed VM and seed and from every member of the region
-// that they report, and keeps the newest objects. It reports whether any peer had some.
+// that they report, and keeps the newest objects. It reports whether any peer returned
+// objects.
 func (d *Daemon) syncPeers(ctx context.Context) bool {
 	visited := map[string]bool{d.self.Links: true}
 	pending := append(d.listedLinkAddresses(ctx), d.config.Seeds...)
