--- a/internal/process/fronter/fronter.go
+++ b/internal/process/fronter/fronter.go
@@ -103,8 +103,8 @@
 		KeysUnconfirmed func() bool
 		// Bounds returns the limits that all members share.
 		Bounds func() Bounds
-		// Ended is called when another incarnation answers at the address of an
-		// upstream. It may be nil.
+		// Ended is called with an incarnation of an upstream when another one responds at
+		// its address. It may be nil.
 		Ended func(cataloger.Incarnation)
 		// Homes maps keys to their home upstreams.
 		Homes *assigner.Assigner
