--- a/cmd/gullvaled/main.go
+++ b/cmd/gullvaled/main.go
@@ -36,7 +36,7 @@
 
 func main() {
 	code := exitDone
-	c := command(&code)
+	c := rootCommand(&code)
 	if err := c.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		code = exitBadInput
@@ -44,7 +44,7 @@
 	os.Exit(code)
 }
 
-func command(code *int) *cobra.Command {
+func rootCommand(code *int) *cobra.Command {
 	var file string
 	var check bool
 	c := &cobra.Command{
@@ -54,7 +54,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Run: func(*cobra.Command, []string) {
-			*code = run(file, check)
+			*code = runDaemon(file, check)
 		},
 	}
 	c.Flags().StringVar(&file, "settings", "", "settings file of this daemon (required)")
@@ -68,7 +68,7 @@
 // entryCommand returns the command that runs an entry with routes and upstreams from a
 // file.
 func entryCommand(code *int) *cobra.Command {
-	o := follower.Options{StopWithin: defaultStop}
+	o := follower.Options{StopTimeout: defaultStop}
 	var check bool
 	c := &cobra.Command{
 		Use:   "entry --table FILE.toml",
@@ -86,7 +86,7 @@
 	f.StringVar(&o.Checks, "checks", "", "address that serves /ready, none if empty")
 	f.StringVar(&o.Metrics, "metrics", "", "address that serves /metrics, none if empty")
 	f.Var(&o.Without, "without", withoutUsage)
-	f.Int64Var((*int64)(&o.StopWithin), "stop-millis", int64(defaultStop), "time from SIGTERM to exit, in milliseconds")
+	f.Int64Var((*int64)(&o.StopTimeout), "stop-millis", int64(defaultStop), "time from SIGTERM to exit, in milliseconds")
 	f.BoolVar(&check, "check", false, "check the table and exit")
 	_ = c.MarkFlagRequired("table")
 	_ = c.MarkFlagFilename("table", "toml")
@@ -144,7 +144,7 @@
 	return exitDone
 }
 
-func run(file string, check bool) int {
+func runDaemon(file string, check bool) int {
 	config, problems := configurer.ReadFile(file)
 	if len(problems) > 0 {
 		fmt.Fprintln(os.Stderr, problems.Error())
--- a/internal/process/follower/follow.go
+++ b/internal/process/follower/follow.go
@@ -61,8 +61,8 @@
 		// Callers, Checks and Metrics are the addresses of the listeners as "ip:port".
 		// An empty address disables the listener.
 		Callers, Checks, Metrics string
-		// StopWithin is the time that the process has to shut down.
-		StopWithin timekeeper.Millis
+		// StopTimeout is the time that the process has to shut down.
+		StopTimeout timekeeper.Millis
 		// Without holds the mechanisms that are switched off.
 		Without switcher.Set
 		Log     *logrus.Logger
@@ -103,7 +103,7 @@
 		Fields:      Fields,
 		ReadyPath:   readyPath,
 		MetricsPath: metricsPath,
-		StopTimeout: o.StopWithin,
+		StopTimeout: o.StopTimeout,
 		Self:        o.Name,
 		Members:     func() []heartbeater.Member { return self },
 		Homes:       &assigner.Assigner{Region: o.Site.Region(), Regions: t.Regions(), Without: o.Without},
