--- a/internal/process/operator/api.go
+++ b/internal/process/operator/api.go
@@ -25,7 +25,7 @@
 	PathHealth   = "/health"
 )
 
-// Kinds of failure. The command line derives its exit code from them.
+// The classes of failure. The command line derives its exit code from them.
 const (
 	FailureInput       Failure = "Input"
 	FailureForbidden   Failure = "Forbidden"
--- a/internal/process/operator/server.go
+++ b/internal/process/operator/server.go
@@ -107,13 +107,13 @@
 			return
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, maxRequestBytes)
-		answer, err := h(r.Context(), o, r)
+		response, err := h(r.Context(), o, r)
 		if err != nil {
 			status, e := errorResponse(err)
 			writeJSON(w, status, e)
 			return
 		}
-		writeJSON(w, http.StatusOK, answer)
+		writeJSON(w, http.StatusOK, response)
 	}}
 }
 
