--- a/internal/connection/linker/link_test.go
+++ b/internal/connection/linker/link_test.go
@@ -17,7 +17,7 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-var pool = pooler.Key{Site: "erie/a", Service: "keg-ledger"}
+var poolKey = pooler.Key{Site: "erie/a", Service: "keg-ledger"}
 
 // manualClock is a clock that only the test advances.
 type manualClock struct{ now atomic.Int64 }
@@ -48,7 +48,7 @@
 		Serve: func(context.Context, *exchanger.Call, bool) exchanger.Result {
 			return exchanger.Result{Outcome: exchanger.Answered, Whole: true, Upstream: "u"}
 		},
-		FreeOf: func(pooler.Key) (int, int) { return 5, 12 },
+		FreeSlots: func(pooler.Key) (int, int) { return 5, 12 },
 	}
 	go to.Accept(ctx, l)
 	p = from.Peer(ctx, member)
@@ -72,25 +72,25 @@
 	refusing := registrar.Member{Incarnation: "a", Site: "erie/a", Links: "127.0.0.1:1"}
 	back := to.Peer(context.Background(), refusing)
 	is.True(back.Await(context.Background()))
-	is.True(back.Prompt())
-	is.True(!back.Gone())
+	is.True(back.Responsive())
+	is.True(!back.Terminated())
 	r := back.Run(context.Background(), call(), true)
 	is.Equal(r.Outcome, exchanger.Answered)
 	is.Equal(r.Upstream, "v")
 	is.Equal(dialled.Run(context.Background(), call(), false).Upstream, "u")
 
-	from.Keep(func(registrar.Incarnation, time.Duration) bool { return false })
+	from.RetainPeers(func(registrar.Incarnation, time.Duration) bool { return false })
 	for back.Up() {
 		time.Sleep(time.Millisecond)
 	}
-	is.Equal(back.Run(context.Background(), call(), true).Reason, exchanger.ReasonLinkDial)
-	is.True(to.Keep(func(registrar.Incarnation, time.Duration) bool { return false }) > 0)
+	is.Equal(back.Run(context.Background(), call(), true).Reason, exchanger.ReasonLinkUnreachable)
+	is.True(to.RetainPeers(func(registrar.Incarnation, time.Duration) bool { return false }) > 0)
 }
 
 func call() *exchanger.Call {
 	return &exchanger.Call{
-		Head:  exchanger.Head{ID: "1", Site: pool.Site, Service: pool.Service, Method: "GET", Target: "/"},
-		Start: func(exchanger.Answer) error { return nil },
+		Head:  exchanger.Head{ID: "1", Site: poolKey.Site, Service: poolKey.Service, Method: "GET", Target: "/"},
+		Start: func(exchanger.Response) error { return nil },
 		Write: func([]byte) error { return nil },
 	}
 }
@@ -104,19 +104,20 @@
 	frames := to.Counters().Frames.Load()
 	r := p.Run(context.Background(), call(), false)
 	is.Equal(r.Outcome, exchanger.Answered)
-	free, slots := p.Free(pool)
+	free, slots := p.FreeSlots(poolKey)
 	is.Equal(free, 5)
 	is.Equal(slots, 12)
 	is.Equal(to.Counters().Frames.Load(), frames)
 	// A value that the sender already has is not announced; one far from it is.
-	is.True(to.Announce(pool, 5, 12))
+	is.True(to.AnnounceFreeSlots(poolKey, 5, 12))
 	is.Equal(to.Counters().Frames.Load(), frames)
-	is.True(to.Announce(pool, 0, 12))
+	is.True(to.AnnounceFreeSlots(poolKey, 0, 12))
 	is.Equal(to.Counters().Frames.Load(), frames+1)
 }
 
 // TestAnnouncementsHaveABudget changes the free slots far more often than the rate limit
-// allows. Announce reports the refused announcements, and succeeds again later.
+// allows. AnnounceFreeSlots reports false for the others, and succeeds again
+// later.
 func TestAnnouncementsHaveABudget(t *testing.T) {
 	is := is.New(t)
 	var s manualClock
@@ -124,14 +125,14 @@
 	before := to.Counters().ControlOut.Load()
 	refused := 0
 	for i := range 2000 {
-		if !to.Announce(pool, 12*(i%2), 12) {
+		if !to.AnnounceFreeSlots(poolKey, 12*(i%2), 12) {
 			refused++
 		}
 	}
 	is.True(refused > 900)
 	is.True(to.Counters().ControlOut.Load()-before <= 5<<10)
 	s.now.Add(1000)
-	announced := to.Announce(pool, 0, 12) && to.Announce(pool, 12, 12)
+	announced := to.AnnounceFreeSlots(poolKey, 0, 12) && to.AnnounceFreeSlots(poolKey, 12, 12)
 	is.True(announced)
 }
 
@@ -147,7 +148,7 @@
 	for from.Counters().Pings.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	is.True(p.Prompt())
+	is.True(p.Responsive())
 }
 
 // TestShortAnswersAreWhole closes the link in the middle of a response. No part of a
@@ -164,7 +165,7 @@
 			from, to, p := connectManagers(t, s.newClock())
 			returned := make(chan struct{})
 			to.Serve = func(_ context.Context, x *exchanger.Call, _ bool) exchanger.Result {
-				is.NoErr(x.Start(exchanger.Answer{Status: 200, Length: c.length}))
+				is.NoErr(x.Start(exchanger.Response{Status: 200, Length: c.length}))
 				is.NoErr(x.Write(make([]byte, 10)))
 				for _, s := range to.AcceptedSessions() {
 					s.Close()
@@ -174,7 +175,7 @@
 			}
 			started := false
 			x := call()
-			x.Start = func(exchanger.Answer) error {
+			x.Start = func(exchanger.Response) error {
 				started = true
 				return nil
 			}
@@ -196,12 +197,12 @@
 	var paced atomic.Int64
 	to.Pace = func(_ context.Context, m registrar.Member, c *exchanger.Call, n int) error {
 		is.Equal(m.Incarnation, registrar.Incarnation("a"))
-		is.Equal(pooler.KeyOf(c), pool)
+		is.Equal(pooler.KeyOf(c), poolKey)
 		paced.Add(int64(n))
 		return nil
 	}
 	to.Serve = func(_ context.Context, c *exchanger.Call, _ bool) exchanger.Result {
-		is.NoErr(c.Start(exchanger.Answer{Status: 200, Length: 30}))
+		is.NoErr(c.Start(exchanger.Response{Status: 200, Length: 30}))
 		for range 3 {
 			is.NoErr(c.Write(make([]byte, 10)))
 		}
--- a/internal/connection/linker/serve.go
+++ b/internal/connection/linker/serve.go
@@ -19,7 +19,7 @@
 	writer *framer.Writer
 	reader *framer.Reader
 	cancel context.CancelFunc
-	// body receives the request body; nil if the body was included in the head.
+	// body receives the request body; nil if the Request frame included the body.
 	body    *io.PipeWriter
 	trailer http.Header
 }
@@ -75,10 +75,10 @@
 
 // addFreeSlots adds the free slots of the pool to the End frame of a request.
 func (m *Manager) addFreeSlots(s *Session, k pooler.Key, end *framer.End) {
-	if m.FreeOf == nil {
+	if m.FreeSlots == nil {
 		return
 	}
-	free, slots := m.FreeOf(k)
+	free, slots := m.FreeSlots(k)
 	end.Free = int32(free)
 	end.Slots = uint32(slots)
 	s.recordAnnounced(k, free)
@@ -110,7 +110,7 @@
 		c.Deadline = now + timekeeper.Millis(q.RemainingMillis)
 	}
 	if q.BodyIncluded {
-		c.Short = q.Body
+		c.ShortBody = q.Body
 		return c
 	}
 	r, w := io.Pipe()
@@ -120,12 +120,12 @@
 	return c
 }
 
-func (in *inboundCall) sendResponse(a exchanger.Answer) error {
+func (in *inboundCall) sendResponse(r exchanger.Response) error {
 	return in.writer.Message(framer.KindResponse, &framer.Response{
-		Status:   uint32(a.Status),
-		Headers:  toHeaders(a.Header),
-		Length:   a.Length,
-		Upstream: a.Upstream,
+		Status:   uint32(r.Status),
+		Headers:  toHeaders(r.Header),
+		Length:   r.Length,
+		Upstream: r.Upstream,
 	})
 }
 
--- a/internal/connection/linker/session.go
+++ b/internal/connection/linker/session.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// writeTimeout closes a session if a ping is not answered within that time.
+	// writeTimeout is how long a ping may wait for its reply before the session is
+	// closed. It also bounds writes.
 	writeTimeout = 4 * time.Second
 
 	// yamuxHeaderBytes is the size of the header that yamux adds to a frame.
@@ -31,7 +32,9 @@
 type (
 	// Counters counts the traffic on the links of a daemon. ControlIn and ControlOut
 	// are the bytes on control streams; ControlOut includes the yamux headers. WireIn
-	// and WireOut are all bytes, including requests and pings.
+	// and WireOut are all bytes, including requests and pings. Frames counts the control
+	// frames sent, Handed and Received the requests sent and received. Lost counts the
+	// requests sent whose link was lost before their result arrived.
 	Counters struct {
 		WireIn     atomic.Uint64
 		WireOut    atomic.Uint64
@@ -61,7 +64,7 @@
 		// lastReply is when the remote end last replied to a ping, a request or a
 		// heartbeat.
 		lastReply atomic.Int64
-		// pendingCalls is the number of requests sent that have not ended yet.
+		// pendingCalls is the number of requests sent whose result is still outstanding.
 		pendingCalls atomic.Int64
 
 		lock sync.Mutex
@@ -177,7 +180,7 @@
 	s.mux.Close()
 }
 
-func (s *Session) carriedDirectSince(t timekeeper.Millis) bool {
+func (s *Session) receivedDirectSince(t timekeeper.Millis) bool {
 	d := s.lastDirectRequest.Load()
 	return d != 0 && timekeeper.Millis(d) >= t
 }
--- a/internal/connection/pooler/availability_test.go
+++ b/internal/connection/pooler/availability_test.go
@@ -44,7 +44,7 @@
 
 // TestDarkPoolRefusesAtOnce checks that a pool whose only upstream refuses connections
 // does not queue requests: after the first failed dial they are refused until the
-// back-off ends, with its rest as the retry delay.
+// back-off ends, with the remaining back-off as the retry delay.
 func TestDarkPoolRefusesAtOnce(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,12 +53,12 @@
 	is.NoErr(l.Close())
 	o, c := newOwner(settings(4, 10, address))
 	r := o.Run(context.Background(), call("x", nil, io.Discard))
-	is.Equal(r.Reason, exchanger.ReasonUpstreamDial)
+	is.Equal(r.Reason, exchanger.ReasonUpstreamUnreachable)
 	r = o.Run(context.Background(), call("x", nil, io.Discard))
 	is.Equal(r.Outcome, exchanger.NotRun)
 	is.Equal(r.Reason, exchanger.ReasonNoUpstream)
 	is.Equal(r.RetryAfter, 250*timekeeper.Millis(1))
 	c.now.Add(250)
 	r = o.Run(context.Background(), call("x", nil, io.Discard))
-	is.Equal(r.Reason, exchanger.ReasonUpstreamDial)
+	is.Equal(r.Reason, exchanger.ReasonUpstreamUnreachable)
 }
--- a/internal/connection/pooler/pool.go
+++ b/internal/connection/pooler/pool.go
@@ -22,17 +22,21 @@
 		clock timekeeper.Clock
 		dial  dialer
 
-		lock         sync.Mutex
-		settings     *resolver.Service
-		upstreams    []*upstream
-		waiting      *list.List
+		lock      sync.Mutex
+		settings  *resolver.Service
+		upstreams []*upstream
+		// waiting is the queue of waiters.
+		waiting *list.List
+		// heldByOrigin is the time that requests held slots since the last TakeLoad, by
+		// the site of origin. peak is the highest number of busy slots since then.
 		heldByOrigin map[registrar.Site]timekeeper.Millis
 		peak         int
-		notify       func()
+		// notify is called when the number of free slots may have changed.
+		notify func()
 		// meanHold is the moving average of the time that a request holds a slot,
 		// in milliseconds.
 		meanHold float64
-		// holdDeviation is the moving average of the distance from meanHold, in
+		// holdDeviation is the moving average of the absolute deviation from meanHold, in
 		// milliseconds.
 		holdDeviation float64
 		// ejections counts ejections of upstreams for their failures.
@@ -111,7 +115,7 @@
 		return p.refuseFull(exchanger.ReasonQueueFull), true
 	}
 	if p.wouldMissDeadline(deadline) {
-		return p.refuseFull(exchanger.ReasonNoTime), true
+		return p.refuseFull(exchanger.ReasonNoSlotInTime), true
 	}
 	return exchanger.Result{}, false
 }
@@ -169,7 +173,7 @@
 		p.release(u)
 		p.lock.Lock()
 		defer p.lock.Unlock()
-		return nil, p.refuseFull(exchanger.ReasonNoTime)
+		return nil, p.refuseFull(exchanger.ReasonNoSlotInTime)
 	}
 	return u, exchanger.Result{}
 }
@@ -286,13 +290,13 @@
 }
 
 // TakeLoad returns the load and, by the site of origin, the total time that requests
-// held slots. Both the peak and the times count from the last call.
+// held slots. The peak and the times cover the period since the last call.
 func (p *Pool) TakeLoad() (Load, map[registrar.Site]timekeeper.Millis) {
 	l := p.Load()
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.peak = l.Busy
-	w := p.heldByOrigin
+	held := p.heldByOrigin
 	p.heldByOrigin = map[registrar.Site]timekeeper.Millis{}
-	return l, w
+	return l, held
 }
--- a/internal/connection/tracker/upstream.go
+++ b/internal/connection/tracker/upstream.go
@@ -39,7 +39,7 @@
 		Slots   int
 	}
 
-	// Upstream is the state of one incarnation. Set.Of creates it.
+	// Upstream is the state of one incarnation. It is created by Set.StateOf.
 	Upstream struct {
 		Pool *sender.Pool
 
@@ -64,13 +64,14 @@
 	}
 )
 
-// State returns the input for the choice of an upstream.
-func (u *Upstream) State(known *cataloger.Upstream) placer.State {
+// State returns the input for the choice of an upstream. catalogued is its entry in the
+// catalog.
+func (u *Upstream) State(catalogued *cataloger.Upstream) placer.State {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return placer.State{
-		Slots:    max(known.Slots, u.report.Slots),
+		Slots:    max(catalogued.Slots, u.report.Slots),
 		Own:      u.inFlight,
 		Reported: u.estimatedLoad(now),
 		Gone:     u.replaced,
@@ -78,7 +79,7 @@
 		Failing:  u.failureShare > failureThreshold && now < u.excludedUntil,
 
 		FailShare:  u.failureShare,
-		BreakShare: u.errorShare,
+		ErrorShare: u.errorShare,
 	}
 }
 
@@ -111,16 +112,16 @@
 	u.inFlight--
 }
 
-// Note records a reported load.
-func (u *Upstream) Note(r Report) {
+// RecordLoad records a reported load.
+func (u *Upstream) RecordLoad(r Report) {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	u.report, u.reportedAt = r, now
 }
 
-// Reached records a response, and whether it was a failure. It ends the back-off.
-func (u *Upstream) Reached(failed bool) {
+// RecordResponse records a response, and whether it was a failure. It ends the back-off.
+func (u *Upstream) RecordResponse(failed bool) {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -128,9 +129,9 @@
 	u.recordOutcome(failed, failed, now)
 }
 
-// Refused records a response that says that the request did not run. It ends the
+// RecordRefusal records a response that says that the request did not run. It ends the
 // back-off.
-func (u *Upstream) Refused() {
+func (u *Upstream) RecordRefusal() {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -138,16 +139,16 @@
 	u.recordOutcome(true, false, now)
 }
 
-// Lost records that a request was sent and no response came.
-func (u *Upstream) Lost() {
+// RecordLoss records that a request was sent and no response came.
+func (u *Upstream) RecordLoss() {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	u.recordOutcome(true, true, now)
 }
 
-// Unreached records a failed dial and starts or doubles the back-off.
-func (u *Upstream) Unreached() {
+// RecordDialFailure records a failed dial and starts or doubles the back-off.
+func (u *Upstream) RecordDialFailure() {
 	now := u.clock.Now()
 	u.lock.Lock()
 	defer u.lock.Unlock()
@@ -156,9 +157,9 @@
 	u.recordOutcome(true, true, now)
 }
 
-// Misdirected records that another incarnation responds at the address, and reports
+// MarkReplaced records that another incarnation responds at the address, and reports
 // whether that was not known before.
-func (u *Upstream) Misdirected() bool {
+func (u *Upstream) MarkReplaced() bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	first := !u.replaced
@@ -166,11 +167,11 @@
 	return first
 }
 
-// recordOutcome adds an outcome to the moving averages: failed means failed or
-// refused, errored means failed. The caller holds the lock.
-func (u *Upstream) recordOutcome(failed, errored bool, now timekeeper.Millis) {
-	u.failureShare += (indicator(failed) - u.failureShare) * failureWeight
-	u.errorShare += (indicator(errored) - u.errorShare) * failureWeight
+// recordOutcome adds an outcome to the moving averages: unsuccessful means that the request
+// failed or was refused, failed that it failed. The caller holds the lock.
+func (u *Upstream) recordOutcome(unsuccessful, failed bool, now timekeeper.Millis) {
+	u.failureShare += (indicator(unsuccessful) - u.failureShare) * failureWeight
+	u.errorShare += (indicator(failed) - u.errorShare) * failureWeight
 	if u.failureShare > failureThreshold {
 		u.excludedUntil = now + exclusionPeriod
 	}
@@ -184,17 +185,17 @@
 	return 0
 }
 
-// MayWarm reports whether the rate limit allows one more request while the upstream
+// WarmupAllows reports whether the rate limit allows one more request while the upstream
 // is cold. It takes no token.
-func (u *Upstream) MayWarm(perSecond float64, burst int) bool {
+func (u *Upstream) WarmupAllows(perSecond float64, burst int) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return u.coldLimiter(perSecond, burst).Tokens() >= 1
 }
 
-// Warm takes one token from the rate limit while the upstream is cold, and reports
+// TakeWarmup takes one token from the rate limit while the upstream is cold, and reports
 // whether there was one.
-func (u *Upstream) Warm(perSecond float64, burst int) bool {
+func (u *Upstream) TakeWarmup(perSecond float64, burst int) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return u.coldLimiter(perSecond, burst).Allow()
--- a/internal/process/claimer/claimer_test.go
+++ b/internal/process/claimer/claimer_test.go
@@ -63,12 +63,12 @@
 	case framer.KindClaim:
 		var m framer.Claim
 		if f.Decode(&m) == nil {
-			_ = s.Send(framer.KindReleased, x.claimer.Asked(&m))
+			_ = s.Send(framer.KindReleased, x.claimer.HandleClaim(&m))
 		}
 	case framer.KindReleased:
 		var m framer.Released
 		if f.Decode(&m) == nil {
-			x.claimer.Answered(&m)
+			x.claimer.HandleReleased(&m)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 				Service: service, Site: site, Method: http.MethodPost, Header: http.Header{},
 				Target: fmt.Sprintf("/x?Token=%d-%d&Bytes=10", w, i),
 			},
-			Start: func(exchanger.Answer) error { return nil },
+			Start: func(exchanger.Response) error { return nil },
 			Write: func(p []byte) error {
 				_, err := io.Discard.Write(p)
 				return err
--- a/internal/process/commander/client.go
+++ b/internal/process/commander/client.go
@@ -218,7 +218,7 @@
 }
 
 func (c *client) call(ctx context.Context, method, address, path string, body []byte, response any) error {
-	daemon := &storer.Client{Address: "http://" + address, Token: c.token, LongestTransfer: maxTransferTime}
+	daemon := &storer.Client{Address: "http://" + address, Token: c.token, MaxTransferTime: maxTransferTime}
 	q, err := daemon.Request(ctx, method, path, body)
 	if err != nil {
 		return commandError{ExitInput, err.Error()}
@@ -238,7 +238,7 @@
 
 // responseError converts the response to a failed call to an error.
 func responseError(status int, data []byte) error {
-	var e operator.ErrorAnswer
+	var e operator.ErrorResponse
 	if err := json.Unmarshal(data, &e); err != nil || e.Failure == "" {
 		code := ExitFailed
 		if status < http.StatusInternalServerError {
@@ -262,7 +262,7 @@
 	return commandError{ExitInput, e.Text}
 }
 
-func conflictText(e operator.ErrorAnswer) string {
+func conflictText(e operator.ErrorResponse) string {
 	t := e.Theirs
 	if t == nil {
 		return "not done: " + e.Text
--- a/internal/process/follower/follow.go
+++ b/internal/process/follower/follow.go
@@ -61,8 +61,8 @@
 		// Callers, Checks and Metrics are the addresses of the listeners as "ip:port".
 		// An empty address disables the listener.
 		Callers, Checks, Metrics string
-		// StopWithin is the time that the process has to shut down.
-		StopWithin timekeeper.Millis
+		// StopTimeout is the time that the process has to shut down.
+		StopTimeout timekeeper.Millis
 		// Without holds the mechanisms that are switched off.
 		Without switcher.Set
 		Log     *logrus.Logger
@@ -103,7 +103,7 @@
 		Fields:      Fields,
 		ReadyPath:   readyPath,
 		MetricsPath: metricsPath,
-		StopWithin:  o.StopWithin,
+		StopTimeout: o.StopTimeout,
 		Self:        o.Name,
 		Members:     func() []heartbeater.Member { return self },
 		Homes:       &assigner.Assigner{Region: o.Site.Region(), Regions: t.Regions(), Without: o.Without},
@@ -122,9 +122,11 @@
 func (f *Follower) newLimits() *limiter.Limiter {
 	return limiter.New(limiter.Options{
 		Tolerance: func() limiter.Tolerance { return limiter.Tolerance{} },
-		Census:    func() limiter.Census { return limiter.Census{Known: 1, Near: 1, Counts: true, Sole: true} },
+		FleetView: func() limiter.FleetView {
+			return limiter.FleetView{Known: 1, Reachable: 1, IsAllocator: true, SingleDaemon: true}
+		},
 		Organisation: func(h hasher.Hash) *authenticator.Organisation {
-			return f.front.Config().Organisations.Known(h)
+			return f.front.Config().Organisations.ByHash(h)
 		},
 		Send: func(limiter.Envelope) {},
 	})
@@ -202,7 +204,7 @@
 		return
 	}
 	t.Fill(&f.front.Catalog, f.clock.Now())
-	f.front.SetHomed()
-	f.front.SetListed()
+	f.front.SetHomesKnown()
+	f.front.SetUpstreamsKnown()
 	log.Info("configuration in force")
 }
--- a/internal/process/fronter/fronter.go
+++ b/internal/process/fronter/fronter.go
@@ -58,7 +58,7 @@
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 
-	// stopReserve is the part of StopWithin that is reserved for closing listeners
+	// stopReserve is the part of StopTimeout that is reserved for closing listeners
 	// and flushing logs.
 	stopReserve = 300 * timekeeper.Millis(1)
 
@@ -79,15 +79,15 @@
 
 		Fields    dispatcher.Fields
 		ParseLoad func(string) (tracker.Report, bool)
-		// LookUp serves lookups on the Directory listener.
-		LookUp http.Handler
+		// Lookup serves lookups on the Directory listener.
+		Lookup http.Handler
 		// ReadyPath and MetricsPath are the paths served on the Ready and Metrics
 		// listeners.
 		ReadyPath   string
 		MetricsPath string
 
-		// StopWithin is the time the process has to exit once Leave is called.
-		StopWithin timekeeper.Millis
+		// StopTimeout is the time the process has to exit once Leave is called.
+		StopTimeout timekeeper.Millis
 
 		// Self is the name of this member.
 		Self string
@@ -95,16 +95,16 @@
 		Site registrar.Site
 		// Members returns the live members.
 		Members func() []heartbeater.Member
-		// Behind returns for how long a change that may concern the configuration has
+		// ConfigLag returns for how long a change that may concern the configuration has
 		// been announced but not read. Nil means that no such change is ever pending.
-		Behind func() timekeeper.Millis
-		// Uncertain reports whether revocations of API keys have gone unconfirmed for
+		ConfigLag func() timekeeper.Millis
+		// KeysUnconfirmed reports whether revocations of API keys have gone unconfirmed for
 		// too long. Nil means never.
-		Uncertain func() bool
+		KeysUnconfirmed func() bool
 		// Bounds returns the limits that all members share.
 		Bounds func() Bounds
-		// Ended is called when another incarnation answers at the address of an
-		// upstream. It may be nil.
+		// Ended is called with an incarnation of an upstream when another one responds at
+		// its address. It may be nil.
 		Ended func(cataloger.Incarnation)
 		// Homes maps keys to their home upstreams.
 		Homes *assigner.Assigner
@@ -114,8 +114,8 @@
 		Limits *limiter.Limiter
 		// Without lists the disabled mechanisms.
 		Without switcher.Set
-		// Changed is called when the entry becomes ready. It may be nil.
-		Changed func()
+		// OnReady is called when the entry becomes ready. It may be nil.
+		OnReady func()
 
 		Log *logrus.Logger
 	}
@@ -151,38 +151,38 @@
 	f.startup.startedAt, f.startup.done = f.clock.Now(), make(chan struct{})
 	f.upstreams = &tracker.Set{Dial: dial, Counter: f.byteCounter}
 	f.dispatcher = &dispatcher.Dispatcher{
-		Config:     f.Config,
-		Behind:     o.Behind,
-		Uncertain:  o.Uncertain,
-		Catalog:    f.Catalog.Current,
-		Upstreams:  f.upstreams,
-		Fields:     o.Fields,
-		ParseLoad:  o.ParseLoad,
-		MayWarm:    f.hasWarmupRoom,
-		Warm:       f.acquireWarmupRoom,
-		Homes:      o.Homes,
-		Ended:      o.Ended,
-		Quarantine: o.Quarantine,
-		Limits:     o.Limits,
+		Config:            f.Config,
+		ConfigLag:         o.ConfigLag,
+		KeysUnconfirmed:   o.KeysUnconfirmed,
+		Catalog:           f.Catalog.Current,
+		Upstreams:         f.upstreams,
+		Fields:            o.Fields,
+		ParseLoad:         o.ParseLoad,
+		HasWarmupRoom:     f.hasWarmupRoom,
+		AcquireWarmupRoom: f.acquireWarmupRoom,
+		Homes:             o.Homes,
+		Ended:             o.Ended,
+		Quarantine:        o.Quarantine,
+		Limits:            o.Limits,
 		Retries: &dispatcher.Retries{
 			Limits: f.retryLimits,
 		},
-		LeavingAt: f.LeavingAt,
-		Start:     f.awaitStartup,
-		Waited:    pipeliner.Waited,
-		Decided:   f.logDecision,
-		Lost:      f.logLoss,
-		Meter:     f.Meter,
-		Without:   o.Without,
+		StopsAt:      f.StopsAt,
+		AwaitReady:   f.awaitStartup,
+		PipelineWait: pipeliner.Waited,
+		OnDecision:   f.logDecision,
+		Lost:         f.logLoss,
+		Meter:        f.Meter,
+		Without:      o.Without,
 	}
 	return f
 }
 
-// MarkEnded records another VM's report that an incarnation has terminated, so that it gets
+// MarkTerminated records another VM's report that an incarnation has terminated, so that it gets
 // no more requests.
-func (f *Fronter) MarkEnded(i cataloger.Incarnation) {
+func (f *Fronter) MarkTerminated(i cataloger.Incarnation) {
 	if u, known := f.Catalog.Known(i.ID); known && u.Born == i.Born {
-		f.upstreams.Of(&u).Misdirected()
+		f.upstreams.StateOf(&u).MarkReplaced()
 	}
 }
 
@@ -209,11 +209,11 @@
 
 // Ready reports whether the entry serves callers: it has started and is not leaving.
 func (f *Fronter) Ready() bool {
-	return f.started() && f.LeavingAt() == 0
+	return f.started() && f.StopsAt() == 0
 }
 
-// LeavingAt returns the stop deadline, or 0 if the entry is not leaving.
-func (f *Fronter) LeavingAt() timekeeper.Millis {
+// StopsAt returns the stop deadline, or 0 if the entry is not leaving.
+func (f *Fronter) StopsAt() timekeeper.Millis {
 	return timekeeper.Millis(f.stopsAt.Load())
 }
 
@@ -257,7 +257,7 @@
 		handler http.Handler
 	}{
 		{f.options.Ready, f.readyHandler()},
-		{f.options.Directory, f.options.LookUp},
+		{f.options.Directory, f.options.Lookup},
 		{f.options.Metrics, f.metricsHandler()},
 	}
 	for _, o := range others {
@@ -282,7 +282,7 @@
 // still use its address to go elsewhere.
 func (f *Fronter) Leave() {
 	began := f.clock.Now()
-	end := began + f.options.StopWithin - stopReserve
+	end := began + f.options.StopTimeout - stopReserve
 	f.stopsAt.Store(int64(end))
 	f.options.Log.WithFields(logrus.Fields{"active": f.dispatcher.Active(), "endsIn": end - began}).Info("leaving")
 }
@@ -290,7 +290,7 @@
 // Stop shuts down an entry after Leave. It serves requests until shortly before the stop
 // deadline, then closes the listeners and waits for the requests in flight.
 func (f *Fronter) Stop() {
-	end := f.LeavingAt()
+	end := f.StopsAt()
 	time.Sleep(max(end-listenerCloseTimeout-f.clock.Now(), 0).Duration())
 	f.closeListeners(end)
 	f.cancel()
@@ -322,14 +322,14 @@
 	return &pipeliner.Server{
 		Handler:      f.dispatcher,
 		MayOverlap:   f.dispatcher.MayOverlap,
-		Leaving:      func() bool { return f.LeavingAt() != 0 },
+		Leaving:      func() bool { return f.StopsAt() != 0 },
 		HeadTimeout:  func() timekeeper.Millis { return f.limits().HeaderTimeout },
 		IdleTimeout:  func() timekeeper.Millis { return f.limits().IdleTimeout },
 		MaxHeadBytes: maxHeaderBytes,
 		Refused: func(k pipeliner.Kind) {
 			f.Meter.Count("heads_refused", measurer.Labels{Kind: string(k)})
 		},
-		Failed: func(reason any) {
+		Panicked: func(reason any) {
 			f.options.Log.WithField("reason", reason).Error("request handler panicked")
 		},
 		Clock: f.clock,
@@ -436,7 +436,7 @@
 	}
 	f.options.Log.WithFields(logrus.Fields{
 		"id": l.ID, "fingerprint": l.Suspect.Fingerprint.String(), "crashes": l.Suspect.Crashes,
-		"service": l.Service, "upstream": l.Upstream.ID, "site": l.Upstream.Site, "ending": l.Ending,
+		"service": l.Service, "upstream": l.Upstream.ID, "site": l.Upstream.Site, "ending": l.UpstreamState,
 	}).Info("connection lost")
 }
 
@@ -447,9 +447,9 @@
 	}
 	fields := logrus.Fields{
 		"id": e.ID, "route": e.Route, "service": e.Service, "class": e.Class,
-		"config": e.Config, "behind": int64(e.Behind), "catalog": e.Catalog, "upstream": e.Upstream, "site": e.Site, "key": e.Key,
-		"tries": e.Tries, "outcome": e.Outcome, "reason": e.Reason, "status": e.Status,
-		"ms": int64(e.Took), "objective": int64(e.Objective), "waited": int64(e.Waited), "sentAfter": int64(e.SentAfter), "load": e.Load, "own": e.Own,
+		"config": e.Config, "behind": int64(e.ConfigLag), "catalog": e.Catalog, "upstream": e.Upstream, "site": e.Site, "key": e.Key,
+		"tries": e.Attempts, "outcome": e.Outcome, "reason": e.Reason, "status": e.Status,
+		"ms": int64(e.Elapsed), "objective": int64(e.Objective), "waited": int64(e.PipelineWait), "sentAfter": int64(e.SentAfter), "load": e.Load, "own": e.Own,
 		"placed": e.Placement.Kind(), "bytes": e.Bytes,
 	}
 	if e.Organisation != "" {
--- a/internal/process/heartbeater/traffic.go
+++ b/internal/process/heartbeater/traffic.go
@@ -6,14 +6,14 @@
 
 // The purposes of datagrams.
 const (
-	BeatPurpose    Purpose = "beat"
-	RelayPurpose   Purpose = "relay"
-	HomesPurpose   Purpose = "homes"
-	AskPurpose     Purpose = "ask"
-	EndedPurpose   Purpose = "ended"
-	SuspectPurpose Purpose = "suspects"
-	TokensPurpose  Purpose = "tokens"
-	UnknownPurpose Purpose = "unknown datagram"
+	BeatPurpose       Purpose = "beat"
+	RelayPurpose      Purpose = "relay"
+	HomesPurpose      Purpose = "homes"
+	AskPurpose        Purpose = "ask"
+	TerminatedPurpose Purpose = "ended"
+	SuspectPurpose    Purpose = "suspects"
+	TokensPurpose     Purpose = "tokens"
+	UnknownPurpose    Purpose = "unknown datagram"
 )
 
 type (
@@ -41,7 +41,7 @@
 	case d.Ask != nil:
 		return AskPurpose
 	case d.Ended != nil:
-		return EndedPurpose
+		return TerminatedPurpose
 	case d.Suspects != nil:
 		return SuspectPurpose
 	case d.Tokens != nil:
@@ -51,16 +51,16 @@
 }
 
 // count reports bytes sent to or received from an address.
-func (b *Beater) count(address string, t Traffic) {
-	if b.Counted == nil {
+func (b *Heartbeater) count(address string, t Traffic) {
+	if b.OnTraffic == nil {
 		return
 	}
 	t.Distance = b.distance(address)
-	b.Counted(t)
+	b.OnTraffic(t)
 }
 
 // distance returns the distance to the member with a datagram address.
-func (b *Beater) distance(address string) registrar.Distance {
+func (b *Heartbeater) distance(address string) registrar.Distance {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.self.Site.Distance(b.sites[address])
--- a/internal/process/leader/leader.go
+++ b/internal/process/leader/leader.go
@@ -92,9 +92,9 @@
 	l.cursors = map[*linker.Session]*cursor{}
 }
 
-// Lead starts the leader's duties when the lease is acquired and stops them when it
-// is lost.
-func (l *Leader) Lead(ctx context.Context, fence leaser.Fence, held bool) {
+// SetLeading starts the leader's duties when the lease is acquired and stops them when
+// it is lost.
+func (l *Leader) SetLeading(ctx context.Context, fence leaser.Fence, held bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.cancel != nil {
@@ -124,9 +124,9 @@
 	return r.Holder == l.Lease.Holder && !r.Released && !l.Lease.Reachable()
 }
 
-// Hear processes a heartbeat and returns its acknowledgement. s is nil for the
+// HandleHeartbeat processes a heartbeat and returns its acknowledgement. s is nil for the
 // leader's own heartbeat.
-func (l *Leader) Hear(from registrar.Member, s *linker.Session, h *framer.Heartbeat) *framer.Ack {
+func (l *Leader) HandleHeartbeat(from registrar.Member, s *linker.Session, h *framer.Heartbeat) *framer.Ack {
 	leading := l.IsLeader()
 	fence, _ := l.Lease.Held()
 	a := &framer.Ack{
@@ -159,9 +159,9 @@
 	return ok && l.members.contains(i)
 }
 
-// Gone is called when a link is closed. It probes whether the member at the other
+// LinkClosed is called when a link is closed. It probes whether the member at the other
 // end has terminated.
-func (l *Leader) Gone(ctx context.Context, s *linker.Session) {
+func (l *Leader) LinkClosed(ctx context.Context, s *linker.Session) {
 	l.lock.Lock()
 	_, ours := l.cursors[s]
 	delete(l.cursors, s)
@@ -174,7 +174,7 @@
 	}
 }
 
-// wakeDuties wakes runDuties.
+// wakeDuties makes runDuties update the roster and the summary ahead of schedule.
 func (l *Leader) wakeDuties() {
 	select {
 	case l.wake <- struct{}{}:
--- a/internal/process/leader/members.go
+++ b/internal/process/leader/members.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// Silence is the time without a heartbeat after which a member is removed from
+	// MemberTimeout is the time without a heartbeat after which a member is removed from
 	// the roster. It is longer than joiner.Validity, so by then the member has
 	// already stopped acting as one by its own clock.
-	Silence = 9 * timekeeper.Second
+	MemberTimeout = 9 * timekeeper.Second
 
 	// maxHeartbeatsPerSecond is the highest rate of heartbeats that a leader asks its
-	// region for. With 71 members, the region size planned for two years ahead,
-	// each sends one every 2.2 s, and three of them fit into joiner.Validity.
+	// region for. With 71 members, the largest region planned for, each sends one
+	// every 2.2 s, and three of them fit into joiner.Validity.
 	maxHeartbeatsPerSecond = 32
 
 	// formerLeaderTimeout is how long a former leader has to send a heartbeat as an ordinary
@@ -50,14 +50,14 @@
 		lock   sync.Mutex
 		all    map[registrar.Incarnation]*memberRecord
 		damper Damper
-		// past lists members that left the roster within registrar.History.
-		past []registrar.Past
+		// past lists members that left the roster within registrar.HistoryRetention.
+		past []registrar.FormerMember
 	}
 
 	memberRecord struct {
 		member        registrar.Member
 		lastHeartbeat timekeeper.Millis
-		// summaryRevision is the wall time at which the member was admitted.
+		// since is the wall time at which the member was admitted.
 		since      timekeeper.Millis
 		settings   recorder.Number
 		plan       planner.Number
@@ -87,9 +87,9 @@
 }
 
 // adoptRoster adds the members of a roster written by an earlier leader. Each has the
-// full Silence from now to send a heartbeat, except the previous leader, whose
+// full MemberTimeout from now to send a heartbeat, except previousLeader, whose
 // membership ended with its lease and which has only formerLeaderTimeout.
-func (m *members) adoptRoster(r registrar.Roster, before registrar.Incarnation, now timekeeper.Millis) {
+func (m *members) adoptRoster(r registrar.Roster, previousLeader registrar.Incarnation, now timekeeper.Millis) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	for _, x := range r.Members {
@@ -97,8 +97,8 @@
 			continue
 		}
 		lastHeartbeat := now
-		if x.Incarnation == before {
-			lastHeartbeat = now - Silence + formerLeaderTimeout
+		if x.Incarnation == previousLeader {
+			lastHeartbeat = now - MemberTimeout + formerLeaderTimeout
 		}
 		m.all[x.Incarnation] = &memberRecord{member: x, lastHeartbeat: lastHeartbeat, leaving: x.Leaving, since: x.SinceMillis}
 	}
@@ -165,16 +165,16 @@
 	r.work = work
 }
 
-// removeExpired removes members that have been silent for Silence or have terminated, and
+// removeExpired removes members that have been silent for MemberTimeout or have terminated, and
 // returns them.
 func (m *members) removeExpired(now, wall timekeeper.Millis) []registrar.Member {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	var gone []registrar.Member
+	var removed []registrar.Member
 	for i, r := range m.all {
-		if r.terminated || now-r.lastHeartbeat >= Silence {
-			gone = append(gone, r.member)
-			m.past = append(m.past, registrar.Past{Incarnation: i, SinceMillis: r.since, GoneMillis: wall})
+		if r.terminated || now-r.lastHeartbeat >= MemberTimeout {
+			removed = append(removed, r.member)
+			m.past = append(m.past, registrar.FormerMember{Incarnation: i, SinceMillis: r.since, GoneMillis: wall})
 			delete(m.all, i)
 			if !r.leaving {
 				m.damper.RecordLoss(r.member.Links, now)
@@ -182,8 +182,8 @@
 		}
 	}
 	m.damper.Prune(now)
-	m.past = slices.DeleteFunc(m.past, func(p registrar.Past) bool { return p.GoneMillis < wall-registrar.History })
-	return gone
+	m.past = slices.DeleteFunc(m.past, func(p registrar.FormerMember) bool { return p.GoneMillis < wall-registrar.HistoryRetention })
+	return removed
 }
 
 // markTerminated marks a member as terminated unless it sent a heartbeat after since.
@@ -211,7 +211,7 @@
 }
 
 // list returns the current and past members as they are written to the roster.
-func (m *members) list() ([]registrar.Member, []registrar.Past) {
+func (m *members) list() ([]registrar.Member, []registrar.FormerMember) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	var out []registrar.Member
@@ -267,8 +267,8 @@
 	}
 }
 
-// roundSignificant rounds f to three significant digits, more than the averages are accurate
-// to.
+// roundSignificant rounds f to significantDigits, which is finer than the accuracy of the
+// averages.
 func roundSignificant(f float64) float64 {
 	if f <= 0 {
 		return 0
@@ -296,7 +296,7 @@
 
 // runProbe determines whether a member whose link was lost has terminated: either
 // nothing listens at its address, or another process does. A network failure shows
-// neither, and the member stays on the roster until Silence has passed.
+// neither, and the member stays on the roster until MemberTimeout has passed.
 func (l *Leader) runProbe(ctx context.Context, m registrar.Member, since timekeeper.Millis) {
 	for range probeAttempts {
 		if l.refusesConnection(ctx, m) {
--- a/internal/process/runner/control.go
+++ b/internal/process/runner/control.go
@@ -52,13 +52,13 @@
 		if err := f.Decode(&m); err != nil {
 			return err
 		}
-		return s.Send(framer.KindAck, d.leader.Hear(s.Remote(), s, &m))
+		return s.Send(framer.KindAck, d.leader.HandleHeartbeat(s.Remote(), s, &m))
 	case framer.KindAck:
 		var m framer.Ack
 		if err := f.Decode(&m); err != nil {
 			return err
 		}
-		d.joiner.Acked(&m)
+		d.joiner.HandleAck(&m)
 	case framer.KindObjects:
 		b, err := leader.ReadObjects(f)
 		if err != nil {
@@ -76,13 +76,13 @@
 		if err := f.Decode(&m); err != nil {
 			return err
 		}
-		return s.Send(framer.KindReleased, d.claimer.Asked(&m))
+		return s.Send(framer.KindReleased, d.claimer.HandleClaim(&m))
 	case framer.KindReleased:
 		var m framer.Released
 		if err := f.Decode(&m); err != nil {
 			return err
 		}
-		d.claimer.Answered(&m)
+		d.claimer.HandleReleased(&m)
 	case framer.KindSuspects:
 		var m framer.Suspects
 		if err := f.Decode(&m); err != nil {
@@ -163,19 +163,19 @@
 }
 
 func (d *Daemon) handleOwnHeartbeat(h *framer.Heartbeat) *framer.Ack {
-	return d.leader.Hear(d.Self(), nil, h)
+	return d.leader.HandleHeartbeat(d.Self(), nil, h)
 }
 
 // sendInitialState sends the suspects of the quarantine and the free slots of every
 // pool over a new link.
 func (d *Daemon) sendInitialState(s *linker.Session) {
-	if err := s.Send(framer.KindSuspects, suspectsFrame(d.quarantine.All(), true)); err != nil {
+	if err := s.Send(framer.KindSuspects, suspectsFrame(d.quarantine.Suspects(), true)); err != nil {
 		s.Close()
 		return
 	}
 	for k := range d.owner.Pools() {
 		free, slots := d.owner.Free(k)
-		d.links.Tell(s, k, free, slots)
+		d.links.SendFreeSlots(s, k, free, slots)
 	}
 }
 
@@ -244,7 +244,7 @@
 		pause := announceInterval
 		for k := range a.takeDirty() {
 			free, slots := o.Free(k)
-			if !m.Announce(k, free, slots) {
+			if !m.AnnounceFreeSlots(k, free, slots) {
 				a.markDirty(k)
 				pause = announceRetryDelay
 			}
--- a/internal/process/runner/daemon.go
+++ b/internal/process/runner/daemon.go
@@ -119,7 +119,7 @@
 		joiner    *joiner.Joiner
 		leader    *leader.Leader
 		forwarder *forwarder.Forwarder
-		looker    *looker.Looker
+		looker    *looker.Handler
 		changer   *changer.Changer
 		announcer announcer
 		// lastReport is when loads were last reported, and reportedBusy the busy slots
@@ -245,7 +245,7 @@
 		Self:     d.Self,
 		Dial:     d.options.Dial,
 		Control:  d.handleControl,
-		Closed:   func(s *linker.Session) { d.leader.Gone(d.base, s) },
+		Closed:   func(s *linker.Session) { d.leader.LinkClosed(d.base, s) },
 		Accepted: d.sendInitialState,
 	}
 	lease := &leaser.Lease{
@@ -267,14 +267,14 @@
 		Settings: d.settings,
 	}
 	d.joiner = &joiner.Joiner{
-		Clock:    d.clock,
-		Self:     d.Self,
-		Lease:    lease,
-		Links:    d.links,
-		Beat:     d.fillHeartbeat,
-		Lead:     func(f leaser.Fence, held bool) { d.leader.Lead(d.base, f, held) },
-		SelfBeat: d.handleOwnHeartbeat,
-		Shun:     d.avoidsLeading,
+		Clock:              d.clock,
+		Self:               d.Self,
+		Lease:              lease,
+		Links:              d.links,
+		FillHeartbeat:      d.fillHeartbeat,
+		OnLeadershipChange: func(f leaser.Fence, held bool) { d.leader.SetLeading(d.base, f, held) },
+		HandleOwnHeartbeat: d.handleOwnHeartbeat,
+		AvoidLeading:       d.avoidsLeading,
 	}
 	d.owner.Valid = d.joiner.Valid
 	d.quarantine = d.newQuarantine()
@@ -292,11 +292,11 @@
 		Quarantine:   d.quarantine,
 		MostInFlight: d.config.MostInFlight,
 	}
-	d.owner.Admit = d.forwarder.Admit
+	d.owner.Admit = d.forwarder.RefuseQuarantined
 	d.links.Serve = d.forwarder.RunLinked
-	d.links.FreeOf = d.owner.Free
+	d.links.FreeSlots = d.owner.Free
 	d.links.Pace = d.paceExport
-	d.looker = &looker.Looker{Snapshot: d.snapshot.Load, Meter: d.meter}
+	d.looker = &looker.Handler{Snapshot: d.snapshot.Load, Meter: d.meter}
 	d.changer = &changer.Changer{
 		Clock:         d.clock,
 		Log:           d.records,
@@ -374,7 +374,7 @@
 		IdleTimeout:  func() timekeeper.Millis { return idleTimeout },
 		MaxHeadBytes: maxHeadBytes,
 		Refused:      d.countRefusedHead,
-		Failed:       d.logHandlerPanic,
+		Panicked:     d.logHandlerPanic,
 		Clock:        d.clock,
 	}
 	l := d.callers
@@ -414,8 +414,8 @@
 			{Method: http.MethodGet, Path: forwarder.PathOutcome, Handler: d.forwarder.ServeOutcome},
 			{Method: http.MethodGet, Path: operator.PathHealth, Handler: d.serveHealth},
 		},
-		Fallback: d.forwarder,
-		Direct:   d.forwarder.Names,
+		Fallback:     d.forwarder,
+		BypassRoutes: d.forwarder.NamesService,
 	})
 }
 
--- a/internal/process/runner/gauges.go
+++ b/internal/process/runner/gauges.go
@@ -29,7 +29,7 @@
 		"plan_number":       float64(s.Plan.Number),
 		"settings_rejected": float64(d.applier.Rejected()),
 		"in_flight":         float64(d.forwarder.InFlight()),
-		"invariants_broken": float64(d.leader.Broken()),
+		"invariants_broken": float64(d.leader.FenceRegressions()),
 		"member_valid":      boolGauge(d.joiner.Valid()),
 		"lead":              boolGauge(leads),
 		"link_bytes_in":     float64(c.LinkBytesIn),
@@ -45,7 +45,7 @@
 		d.meter.Gauge(name, measurer.Labels{}, v)
 	}
 	if d.encrypter != nil {
-		left := d.encrypter.Left(d.clock.WallNow())
+		left := d.encrypter.RemainingValidity(d.clock.WallNow())
 		d.meter.Gauge("link_certificate_seconds_left", measurer.Labels{}, left.Duration().Seconds())
 	}
 	d.setPoolGauges(s)
--- a/internal/process/runner/status.go
+++ b/internal/process/runner/status.go
@@ -41,8 +41,8 @@
 	return len(s.View.Members())
 }
 
-func (d *Daemon) inForce(ctx context.Context, n recorder.Number) (operator.InForceAnswer, error) {
-	a := operator.InForceAnswer{Number: n, Members: d.memberCount()}
+func (d *Daemon) inForce(ctx context.Context, n recorder.Number) (operator.InForceResponse, error) {
+	a := operator.InForceResponse{Number: n, Members: d.memberCount()}
 	all, err := d.summaries(ctx)
 	if err != nil {
 		return a, err
@@ -93,13 +93,13 @@
 		Site:        d.self.Site,
 		Members:     d.memberCount(),
 		Lead:        leads,
-		LeadReached: leads || d.joiner.LeadHealthy(),
+		LeadReached: leads || d.joiner.LeaderHealthy(),
 		Valid:       d.joiner.Valid(),
 		Control:     d.controlStatus(),
 
 		Fence:            fence,
 		PlannerFence:     d.leader.PlannerFence(),
-		InvariantsBroken: d.leader.Broken(),
+		InvariantsBroken: d.leader.FenceRegressions(),
 	}
 	for k, p := range d.owner.Pools() {
 		l := p.Load()
--- a/internal/process/runner/sync.go
+++ b/internal/process/runner/sync.go
@@ -94,7 +94,8 @@
 }
 
 // syncPeers reads from every listed VM and seed and from every member of the region
-// that they report, and keeps the newest objects. It reports whether any peer had some.
+// that they report, and keeps the newest objects. It reports whether any peer returned
+// objects.
 func (d *Daemon) syncPeers(ctx context.Context) bool {
 	visited := map[string]bool{d.self.Links: true}
 	pending := append(d.listedLinkAddresses(ctx), d.config.Seeds...)
@@ -172,7 +173,7 @@
 			return
 		case <-time.After(pollInterval/2 + rand.N(pollInterval)):
 		}
-		if d.joiner.LeadHealthy() {
+		if d.joiner.LeaderHealthy() {
 			continue
 		}
 		b, err := d.store.Watch(ctx, leader.Prefixes, d.replica.Revision(), 0)
@@ -197,8 +198,8 @@
 	if s == nil {
 		return
 	}
-	leaderID := d.joiner.LeadIs()
-	closed := d.links.Keep(func(i registrar.Incarnation, idle time.Duration) bool {
+	leaderID := d.joiner.Leader()
+	closed := d.links.RetainPeers(func(i registrar.Incarnation, idle time.Duration) bool {
 		m, ok := s.View.Find(i)
 		return i == leaderID || idle < linkIdleTimeout && ok || ok && m.Site == d.self.Site
 	})
--- a/internal/request/assigner/shed_test.go
+++ b/internal/request/assigner/shed_test.go
@@ -46,15 +46,15 @@
 	var states []placer.State
 	for i, u := range list {
 		m := s.upstreams[u]
-		x := s.known.Of(u).State(u)
+		x := s.known.StateOf(u).State(u)
 		x.Reported = float64(len(m.running) + len(m.queue))
 		if s.leavesHome {
-			x.Tried = u == refused
+			x.Attempted = u == refused
 			x.FailShare = float64(1 - min(i, 1))
 		}
 		states = append(states, x)
 	}
-	i, _, move := placer.Placer{}.ChooseHomed(states, true)
+	i, _, move := placer.Placer{}.ChooseWithHome(states, true)
 	if i < 0 || move && s.homes.Move(k, list[i]).Upstream == nil {
 		return nil
 	}
@@ -69,11 +69,11 @@
 		if u == nil {
 			return
 		}
-		t := s.known.Of(u)
+		t := s.known.StateOf(u)
 		t.Begin()
 		t.End()
 		shed := s.now >= shedFrom && s.now < shedEnd && s.random.Float64() < shedShare
-		t.Reached(shed)
+		t.RecordResponse(shed)
 		if !shed {
 			m := s.upstreams[u]
 			m.queue = append(m.queue, &job{key: k, arrived: s.now})
@@ -94,12 +94,12 @@
 	for _, u := range f.all {
 		s.upstreams[u] = &simUpstream{}
 	}
-	asked, inTime := 0, 0
-	judged := func(j *job) bool { return j.arrived >= shedFrom && j.arrived < shedEnd }
+	sent, inTime := 0, 0
+	counted := func(j *job) bool { return j.arrived >= shedFrom && j.arrived < shedEnd }
 	for f.now = 0; f.now < shedEnd+objective; f.now++ {
 		for _, u := range f.all {
 			for _, j := range s.upstreams[u].step(f.now) {
-				if judged(j) && f.now-j.arrived <= objective {
+				if counted(j) && f.now-j.arrived <= objective {
 					inTime++
 				}
 			}
@@ -108,11 +108,11 @@
 			continue
 		}
 		if f.now >= shedFrom && f.now < shedEnd {
-			asked++
+			sent++
 		}
 		s.send(key(s.random.IntN(loadKeys)))
 	}
-	return float64(inTime) / float64(asked)
+	return float64(inTime) / float64(sent)
 }
 
 // TestRefusedRequestsStayAtHome checks that requests refused by upstreams with room are better
--- a/internal/request/dispatcher/dispatcher_test.go
+++ b/internal/request/dispatcher/dispatcher_test.go
@@ -181,7 +181,7 @@
 // A terminated upstream ran nothing: it uses up no attempt, but it does use the retry budget,
 // and it is reported once.
 func TestEndedUpstreamsUseNoAttempt(t *testing.T) {
-	ended := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) }
+	misdirects := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) }
 	for _, kind := range []matcher.Kind{matcher.Once, matcher.Idempotent} {
 		is := is.New(t)
 		s := newHarness(t, kind)
@@ -190,7 +190,7 @@
 		var n atomic.Int64
 		serve := func(w http.ResponseWriter, r *http.Request) {
 			if n.Add(1) <= 2 {
-				ended(w, r)
+				misdirects(w, r)
 				return
 			}
 			succeeds(w, r)
@@ -205,7 +205,7 @@
 
 		s.burst = 0
 		n.Store(0)
-		s.add(t, "u4", ended)
+		s.add(t, "u4", misdirects)
 		p, _ = s.do(http.MethodPost, "id2", func(q *http.Request) { q.Header.Set(fields.Key, "other") })
 		is.True(p.StatusCode == http.StatusOK || p.StatusCode == http.StatusServiceUnavailable)
 		is.True(s.ran("id2") <= 2) // no burst: the ratio of the requests so far allows less than one retry
@@ -230,7 +230,7 @@
 	is := is.New(t)
 	s := newHarness(t, matcher.Once)
 	var decision dispatcher.Decision
-	s.Decided = func(d *dispatcher.Decision) { decision = *d }
+	s.OnDecision = func(d *dispatcher.Decision) { decision = *d }
 	s.catalog.Put(cataloger.Upstream{ID: "cold", Service: "s", Address: "127.0.0.1:1", Site: "east/a", Slots: 4, ColdUntil: s.Clock.Now() + 60_000})
 	p, _ := s.do(http.MethodPost, "id", nil)
 	is.Equal(p.StatusCode, http.StatusServiceUnavailable)
@@ -281,8 +281,8 @@
 	s := newHarness(t, matcher.Once)
 	const room = 5
 	taken := 0
-	s.MayWarm = func(*cataloger.Upstream, *tracker.Upstream) bool { return taken < room }
-	s.Warm = func(*cataloger.Upstream, *tracker.Upstream) bool {
+	s.HasWarmupRoom = func(*cataloger.Upstream, *tracker.Upstream) bool { return taken < room }
+	s.AcquireWarmupRoom = func(*cataloger.Upstream, *tracker.Upstream) bool {
 		taken++
 		return taken <= room
 	}
@@ -393,10 +393,10 @@
 			is := is.New(t)
 			s := newHarness(t, matcher.Once)
 			s.add(t, "u1", succeeds)
-			behind := timekeeper.Millis(40)
-			s.Behind = func() timekeeper.Millis { return behind }
+			lag := timekeeper.Millis(40)
+			s.ConfigLag = func() timekeeper.Millis { return lag }
 			var reason string
-			s.Decided = func(d *dispatcher.Decision) { reason = d.Reason }
+			s.OnDecision = func(d *dispatcher.Decision) { reason = d.Reason }
 
 			p, _ := s.do(http.MethodPost, "behind", x.change)
 			is.Equal(p.StatusCode, http.StatusServiceUnavailable)
@@ -405,7 +405,7 @@
 			p, _ = s.do(http.MethodPost, "allowed", nil)
 			is.Equal(p.StatusCode, http.StatusOK)
 
-			behind = 0
+			lag = 0
 			p, _ = s.do(http.MethodPost, "current", x.change)
 			is.Equal(p.StatusCode, x.current)
 			is.Equal(s.ran("behind")+s.ran("current"), 0)
@@ -430,7 +430,7 @@
 	s := newHarness(t, matcher.Once)
 	s.add(t, "u1", succeeds)
 	end := timekeeper.Millis(0)
-	s.LeavingAt = func() timekeeper.Millis { return end }
+	s.StopsAt = func() timekeeper.Millis { return end }
 	end = s.Clock.Now() + 10_000
 	p, _ := s.do(http.MethodPost, "early", nil)
 	is.Equal(p.StatusCode, http.StatusOK)
--- a/internal/request/dispatcher/identify_test.go
+++ b/internal/request/dispatcher/identify_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Config().Admit(d)
+	s.Config().SetOrganisations(d)
 	return s
 }
 
@@ -38,21 +38,21 @@
 	is := is.New(t)
 	s := newHarnessWithKeys(t, matcher.Idempotent, keyOf("a", "k"))
 	s.add(t, "u", succeeds)
-	behind := timekeeper.Millis(0)
-	s.Behind = func() timekeeper.Millis { return behind }
+	lag := timekeeper.Millis(0)
+	s.ConfigLag = func() timekeeper.Millis { return lag }
 
 	p, _ := s.do(http.MethodGet, "known", withKey("k"))
 	is.Equal(p.StatusCode, http.StatusOK)
 	p, _ = s.do(http.MethodGet, "unknown", withKey("new"))
 	is.Equal(p.StatusCode, http.StatusUnauthorized)
 
-	behind = 10
+	lag = 10
 	p, _ = s.do(http.MethodGet, "behind", withKey("new"))
 	is.Equal(p.StatusCode, http.StatusServiceUnavailable)
 	is.True(p.Header.Get("Retry-After") != "")
 	p, _ = s.do(http.MethodGet, "none", nil)
 	is.Equal(p.StatusCode, http.StatusServiceUnavailable) // the route may be public by now
-	behind = 0
+	lag = 0
 	p, _ = s.do(http.MethodGet, "none", nil)
 	is.Equal(p.StatusCode, http.StatusUnauthorized)
 	is.Equal(s.ran("unknown")+s.ran("behind")+s.ran("none"), 0)
@@ -64,7 +64,7 @@
 	is := is.New(t)
 	s := newHarnessWithKeys(t, matcher.Idempotent, keyOf("a", "k"))
 	without := *s.Config()
-	without.Admit(&authenticator.Directory{})
+	without.SetOrganisations(&authenticator.Directory{})
 	var config atomic.Pointer[matcher.Config]
 	config.Store(s.Config())
 	s.Config = config.Load
--- a/internal/request/dispatcher/limit_test.go
+++ b/internal/request/dispatcher/limit_test.go
@@ -25,8 +25,8 @@
 	now := timekeeper.Hour
 	s.Limits = limiter.New(limiter.Options{
 		Tolerance:    func() limiter.Tolerance { return limiter.Tolerance{Window: 5000} },
-		Census:       func() limiter.Census { return limiter.Census{Known: 1, Near: 1, Counts: true} },
-		Organisation: func(h hasher.Hash) *authenticator.Organisation { return s.Config().Organisations.Known(h) },
+		FleetView:    func() limiter.FleetView { return limiter.FleetView{Known: 1, Reachable: 1, IsAllocator: true} },
+		Organisation: func(h hasher.Hash) *authenticator.Organisation { return s.Config().Organisations.ByHash(h) },
 		Send:         func(limiter.Envelope) {},
 		Clock:        timekeeper.Clock{Monotonic: func() timekeeper.Millis { return now }},
 	})
@@ -79,9 +79,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			s := newHarnessWithLimit(t, tt.kind)
-			var sound atomic.Bool
+			var healthy atomic.Bool
 			s.add(t, "u", func(w http.ResponseWriter, r *http.Request) {
-				if !sound.Load() {
+				if !healthy.Load() {
 					tt.serve(w, r)
 					return
 				}
@@ -90,7 +90,7 @@
 			for i := range 20 {
 				s.do(http.MethodPost, fmt.Sprint("before", i), withKey("k"))
 			}
-			sound.Store(true)
+			healthy.Store(true)
 			within := 0
 			for i := range 10 {
 				if p, _ := s.do(http.MethodPost, fmt.Sprint("after", i), withKey("k")); p.StatusCode != http.StatusTooManyRequests {
--- a/internal/request/dispatcher/quarantine.go
+++ b/internal/request/dispatcher/quarantine.go
@@ -43,11 +43,11 @@
 	if !x.anySuspects() {
 		return false
 	}
-	x.observation = x.d.Quarantine.Look(x.requestFingerprint(), x.observation)
+	x.observation = x.d.Quarantine.Check(x.requestFingerprint(), x.observation)
 	if x.observation.Crashes > 0 {
 		x.decision.Suspect = x.observation.Suspect
 	}
-	if !x.observation.Barred {
+	if !x.observation.Refused {
 		return false
 	}
 	x.refuseNotRun(http.StatusServiceUnavailable, x.withPriorReason("quarantined"), x.observation.After)
@@ -82,12 +82,12 @@
 
 // clearSuspect clears the request of suspicion after a complete response other than a server
 // error.
-func (x *exchange) clearSuspect(a *sender.Answer) {
-	if a.Status >= http.StatusInternalServerError || !x.anySuspects() {
+func (x *exchange) clearSuspect(resp *sender.Response) {
+	if resp.Status >= http.StatusInternalServerError || !x.anySuspects() {
 		return
 	}
-	if proof := x.d.Fields.Proof; proof == "" || a.Header.Get(proof) != "" {
-		x.d.Quarantine.Answered(x.requestFingerprint())
+	if proof := x.d.Fields.Proof; proof == "" || resp.Header.Get(proof) != "" {
+		x.d.Quarantine.RecordAnswer(x.requestFingerprint())
 	}
 }
 
@@ -101,5 +101,5 @@
 
 // retryable reports whether the request could be sent again after it may have run.
 func (x *exchange) retryable() bool {
-	return x.route.Kind.Repeatable() && x.streamedBody == nil && len(x.attempted)-x.misdirected < x.route.Attempts
+	return x.route.Kind.Retryable() && x.streamedBody == nil && len(x.attempted)-x.misdirected < x.route.Attempts
 }
--- a/internal/request/dispatcher/send.go
+++ b/internal/request/dispatcher/send.go
@@ -19,7 +19,7 @@
 		return "no time left"
 	case len(x.attempted) == 0:
 		return ""
-	case x.mayHaveRun && !x.route.Kind.Repeatable():
+	case x.mayHaveRun && !x.route.Kind.Retryable():
 		return "may have run"
 	case x.streamedBody != nil:
 		return "body sent"
@@ -35,10 +35,10 @@
 
 // send sends the request to u and reports whether the caller got a response.
 func (x *exchange) send(u *cataloger.Upstream) bool {
-	t := x.d.Upstreams.Of(u)
+	t := x.d.Upstreams.StateOf(u)
 	t.Begin()
 	defer t.End()
-	a, err := t.Pool.Do(x.r.Context(), x.newRequest(u))
+	resp, err := t.Pool.Do(x.r.Context(), x.newRequest(u))
 	switch {
 	case errors.Is(err, sender.ErrWithdrawn):
 		return false
@@ -50,10 +50,10 @@
 	if err != nil {
 		return x.handleLost(u, t, err)
 	}
-	defer a.Close()
-	defer func() { x.decision.Bytes += a.Bytes() }()
-	x.recordLoad(t, a)
-	return x.handleResponse(u, t, a)
+	defer resp.Close()
+	defer func() { x.decision.Bytes += resp.Bytes() }()
+	x.recordLoad(t, resp)
+	return x.handleResponse(u, t, resp)
 }
 
 // handleNotSent records that the request did not reach its upstream.
@@ -63,7 +63,7 @@
 	if x.r.Context().Err() != nil {
 		return
 	}
-	t.Unreached()
+	t.RecordDialFailure()
 	x.d.Meter.Count("upstream_unreached", x.labels(""))
 }
 
@@ -78,21 +78,21 @@
 	}
 	x.setOrganisation(h)
 	q := &sender.Request{
-		Method:      x.r.Method,
-		Target:      x.r.RequestURI,
-		Host:        x.r.Host,
-		Header:      h,
-		Short:       x.bufferedBody,
-		Stream:      x.streamedBody,
-		Length:      x.bodyLength,
-		EchoField:   x.d.Fields.RequestID,
-		Echo:        x.r.Header.Get(x.d.Fields.RequestID),
-		Until:       time.Now().Add((x.expiresAt - now).Duration()),
-		DialTimeout: min(dialTimeout, max(x.expiresAt-now, 1)),
-		Check:       func() bool { return x.maySendNow(u) },
+		Method:       x.r.Method,
+		Target:       x.r.RequestURI,
+		Host:         x.r.Host,
+		Header:       h,
+		Buffered:     x.bufferedBody,
+		Stream:       x.streamedBody,
+		Length:       x.bodyLength,
+		EchoField:    x.d.Fields.RequestID,
+		Echo:         x.r.Header.Get(x.d.Fields.RequestID),
+		ConnDeadline: time.Now().Add((x.expiresAt - now).Duration()),
+		DialTimeout:  min(dialTimeout, max(x.expiresAt-now, 1)),
+		Check:        func() bool { return x.maySendNow(u) },
 	}
-	if !x.route.Kind.Repeatable() {
-		q.Young = maxIdleForOnce
+	if !x.route.Kind.Retryable() {
+		q.MaxIdle = maxIdleForOnce
 	}
 	return q
 }
@@ -119,12 +119,12 @@
 		x.decision.Reason = "caller left"
 		return false
 	}
-	t.Lost()
+	t.RecordLoss()
 	switch {
 	case errors.Is(err, sender.ErrTimeout):
 		x.decision.Reason = "no answer in time"
-	case errors.Is(err, sender.ErrSilent):
-		t.Unreached()
+	case errors.Is(err, sender.ErrUnacknowledged):
+		t.RecordDialFailure()
 		x.decision.Reason = "upstream silent"
 	case errors.Is(err, sender.ErrMalformed):
 		x.decision.Reason = "malformed answer"
@@ -137,10 +137,10 @@
 }
 
 // recordLoad records the load that the upstream reports in a response.
-func (x *exchange) recordLoad(t *tracker.Upstream, a *sender.Answer) {
-	if v := a.Header.Get(x.d.Fields.Load); v != "" && x.d.ParseLoad != nil {
+func (x *exchange) recordLoad(t *tracker.Upstream, resp *sender.Response) {
+	if v := resp.Header.Get(x.d.Fields.Load); v != "" && x.d.ParseLoad != nil {
 		if r, ok := x.d.ParseLoad(v); ok {
-			t.Note(r)
+			t.RecordLoad(r)
 		}
 	}
 }
--- a/internal/request/dispatcher/without_test.go
+++ b/internal/request/dispatcher/without_test.go
@@ -29,7 +29,7 @@
 		{switcher.Homes, countHomes, 1, 0},
 		{switcher.RefusedStay, countSentToRefusing, 2, 1},
 		{switcher.BackOff, countDialsOfDead, 1, 2},
-		{switcher.RequestsAhead, countOverlapping, 1, 0},
+		{switcher.PipelinedRequests, countOverlapping, 1, 0},
 		{switcher.Waiting, countAnsweredWithFullHome, 0, 1},
 	}
 	for _, tt := range tests {
@@ -126,12 +126,12 @@
 	s.Upstreams.Clock = timekeeper.Clock{Monotonic: func() timekeeper.Millis { return 1000 }}
 	s.do(http.MethodGet, "first", nil)
 	all, _ := s.Homes.All()
-	for _, u := range s.catalog.Current().Of("s") {
+	for _, u := range s.catalog.Current().ByService("s") {
 		r := tracker.Report{Running: 4, Slots: 4}
 		if u.Hash() == all[0].Upstream {
 			r.Waiting = 20
 		}
-		s.Upstreams.Of(u).Note(r)
+		s.Upstreams.StateOf(u).RecordLoad(r)
 	}
 	answered.Store(0)
 	s.do(http.MethodGet, "second", nil)
--- a/internal/request/forwarder/detour.go
+++ b/internal/request/forwarder/detour.go
@@ -60,7 +60,7 @@
 	return false
 }
 
-// exists reports whether a site served nothing when it was last tried.
+// exists reports whether a site served nothing at its last attempt.
 func (d *siteBackOffs) exists(k pooler.Key) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -92,7 +92,7 @@
 		return false
 	}
 	switch r.Reason {
-	case exchanger.ReasonNoUpstream, exchanger.ReasonNoEntry, exchanger.ReasonLinkDial:
+	case exchanger.ReasonNoUpstream, exchanger.ReasonNoEntry, exchanger.ReasonLinkUnreachable:
 		return true
 	}
 	return false
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -41,8 +41,8 @@
 		// Leaving reports whether callers should close their connections because the daemon is
 		// stopping.
 		Leaving func() bool
-		// Quarantine tracks requests that crash their upstreams. Nil means that none is
-		// refused for it.
+		// Quarantine tracks requests that crash their upstreams and refuses those in
+		// quarantine. Nil disables it.
 		Quarantine *quarantiner.Quarantiner
 		// Keys remembers the requests that carry an idempotency key.
 		Keys *keykeeper.Keeper
@@ -99,9 +99,9 @@
 	return f.runKeyed(ctx, c, s, keykeeper.Key(key))
 }
 
-// Names reports whether a request names a service. Its path is then not one of the daemon's
-// own.
-func (f *Forwarder) Names(r *http.Request) bool {
+// NamesService reports whether a request names a service. Its path is then not one of the
+// daemon's own.
+func (f *Forwarder) NamesService(r *http.Request) bool {
 	if r.Header.Get(HeaderService) != "" {
 		return true
 	}
@@ -198,10 +198,10 @@
 			Length:   r.ContentLength,
 			Deadline: deadline,
 		},
-		FirstTry: r.Header.Get(HeaderFirstTry) != "",
-		Start:    x.writeHead,
-		Write:    x.writeBody,
-		Trailer:  x.writeTrailer,
+		FirstAttempt: r.Header.Get(HeaderFirstTry) != "",
+		Start:        x.writeHead,
+		Write:        x.writeBody,
+		Trailer:      x.writeTrailer,
 	}
 	return c, x.setBody(c)
 }
@@ -209,13 +209,13 @@
 func serviceOf(r *http.Request, s *steerer.Snapshot) (resolver.ServiceName, bool) {
 	if h := r.Header.Get(HeaderService); h != "" {
 		n := resolver.ServiceName(h)
-		return n, s.Settings.Knows(n)
+		return n, s.Settings.HasService(n)
 	}
 	host, _, err := net.SplitHostPort(r.Host)
 	if err != nil {
 		host = r.Host
 	}
-	return s.Settings.ByHost(host)
+	return s.Settings.ServiceByHost(host)
 }
 
 func blockOf(r *http.Request, s *steerer.Snapshot) (locator.Block, error) {
--- a/internal/request/forwarder/keyed.go
+++ b/internal/request/forwarder/keyed.go
@@ -31,8 +31,8 @@
 	maxKeyBytes  = 200
 )
 
-// OutcomeAnswer is the response to GET /Outcome?Key=….
-type OutcomeAnswer struct {
+// OutcomeResponse is the response to GET /Outcome?Key=….
+type OutcomeResponse struct {
 	Key     string
 	State   string
 	Outcome string `json:",omitempty"`
@@ -84,7 +84,7 @@
 	h, ok := f.home(f.Snapshot(), keykeeper.Key(c.Key))
 	if !c.Held && (!ok || h.Incarnation != f.Self().Incarnation) {
 		// The sender knows other rosters. Neither daemon may run the call before they agree.
-		return exchanger.Lost(exchanger.ReasonHomeLost, "")
+		return exchanger.Lost(exchanger.ReasonKeyHomeLost, "")
 	}
 	return f.runAtHome(ctx, c, s, keykeeper.Key(c.Key))
 }
@@ -93,10 +93,10 @@
 // is unreachable. This attempt did not run, but the key may have run there before, unless this
 // is its first attempt.
 func homeLost(c *exchanger.Call) exchanger.Result {
-	if c.FirstTry {
-		return exchanger.Refused(exchanger.ReasonHomeLost, 0)
+	if c.FirstAttempt {
+		return exchanger.Refused(exchanger.ReasonKeyHomeLost, 0)
 	}
-	return exchanger.Lost(exchanger.ReasonHomeLost, "")
+	return exchanger.Lost(exchanger.ReasonKeyHomeLost, "")
 }
 
 // handOver hands a call over to the daemon that is, or was, the home of its key.
@@ -104,11 +104,11 @@
 	p := f.Links.Peer(f.Base, h)
 	wait, cancel := context.WithTimeout(ctx, linkTimeout.Duration())
 	defer cancel()
-	if !p.Await(wait) || !p.Prompt() {
+	if !p.Await(wait) || !p.Responsive() {
 		return homeLost(c)
 	}
 	r := p.Run(ctx, c, true)
-	if r.Outcome == exchanger.NotRun && r.Reason == exchanger.ReasonLinkDial {
+	if r.Outcome == exchanger.NotRun && r.Reason == exchanger.ReasonLinkUnreachable {
 		return homeLost(c)
 	}
 	return r
@@ -117,13 +117,13 @@
 // runAtHome runs a call whose key has its home here, unless the key is already known here or
 // at a former home.
 func (f *Forwarder) runAtHome(ctx context.Context, c *exchanger.Call, s *resolver.Service, key keykeeper.Key) exchanger.Result {
-	r, verdict := f.Keys.Begin(key, printOfCall(c))
+	r, verdict := f.Keys.Begin(key, keyFingerprint(c))
 	switch verdict {
 	case keykeeper.Mismatch:
 		return exchanger.Refused(exchanger.ReasonKeyReused, 0)
 	case keykeeper.Full:
 		return exchanger.Refused(exchanger.ReasonKeysFull, timekeeper.Second)
-	case keykeeper.Repeated:
+	case keykeeper.Duplicate:
 		f.count("keys_repeated", c, "")
 		return f.replay(ctx, c, r)
 	}
@@ -134,41 +134,42 @@
 	return f.runNewKey(ctx, c, s, key, r)
 }
 
-// printOfCall returns a hash that distinguishes the request of a call from others. Of a
-// streamed body only the length is included, since its content is not available.
-func printOfCall(c *exchanger.Call) keykeeper.Print {
+// keyFingerprint returns a hash that distinguishes the request of a call from others with the
+// same key. Of a streamed body only the length is included, since its content is not
+// available.
+func keyFingerprint(c *exchanger.Call) keykeeper.Fingerprint {
 	if c.Body != nil {
-		return keykeeper.PrintOf(c.Method, c.Target, strconv.AppendInt(nil, c.Length, 10))
+		return keykeeper.FingerprintOf(c.Method, c.Target, strconv.AppendInt(nil, c.Length, 10))
 	}
-	return keykeeper.PrintOf(c.Method, c.Target, c.Short)
+	return keykeeper.FingerprintOf(c.Method, c.Target, c.ShortBody)
 }
 
 // settleAtFormerHome asks the daemons that may have been the home of a caller's key within the
 // time that keys are kept. If one of them holds the key, it settles the call; if one is gone,
 // the outcome of the key is unknown.
 func (f *Forwarder) settleAtFormerHome(ctx context.Context, c *exchanger.Call, key keykeeper.Key) (exchanger.Result, bool) {
-	if _, made := keyIncarnation(key); made || c.Held {
+	if _, namesHome := keyIncarnation(key); namesHome || c.Held {
 		return exchanger.Result{}, false
 	}
 	view := f.Snapshot().View
 	now := f.Clock.WallNow()
-	for _, i := range view.Homes(string(key), now-f.Keys.Kept(), now) {
+	for _, i := range view.PossibleHomes(string(key), now-f.Keys.RetentionPeriod(), now) {
 		if i == f.Self().Incarnation {
 			continue
 		}
 		m, ok := view.Find(i)
 		if !ok {
-			return exchanger.Lost(exchanger.ReasonHomeLost, ""), true
+			return exchanger.Lost(exchanger.ReasonKeyHomeLost, ""), true
 		}
-		look := &exchanger.Call{Head: exchanger.Head{ID: c.ID, Deadline: c.Deadline}, Key: string(key), Look: true}
-		switch r := f.handOver(ctx, look, m); r.Reason {
-		case exchanger.ReasonKeyAbsent:
+		lookup := &exchanger.Call{Head: exchanger.Head{ID: c.ID, Deadline: c.Deadline}, Key: string(key), Look: true}
+		switch r := f.handOver(ctx, lookup, m); r.Reason {
+		case exchanger.ReasonKeyUnknown:
 			continue
 		case exchanger.ReasonNone:
 			c.Held = true
 			return f.handOver(ctx, c, m), true
 		}
-		return exchanger.Lost(exchanger.ReasonHomeLost, ""), true
+		return exchanger.Lost(exchanger.ReasonKeyHomeLost, ""), true
 	}
 	return exchanger.Result{}, false
 }
@@ -183,7 +184,7 @@
 	rec.Attach(c)
 	ignoreWriteErrors(c)
 	result := exchanger.Result{Outcome: exchanger.Unknown, Reason: exchanger.ReasonLinkLost}
-	defer func() { f.Keys.End(key, r, result, rec.Answer(result)) }()
+	defer func() { f.Keys.End(key, r, result, rec.Response(result)) }()
 	result = f.run(context.WithoutCancel(ctx), c, s)
 	return result
 }
@@ -192,8 +193,8 @@
 func ignoreWriteErrors(c *exchanger.Call) {
 	start, write := c.Start, c.Write
 	gone := false
-	c.Start = func(a exchanger.Answer) error {
-		gone = start(a) != nil
+	c.Start = func(resp exchanger.Response) error {
+		gone = start(resp) != nil
 		return nil
 	}
 	c.Write = func(p []byte) error {
@@ -204,29 +205,29 @@
 	}
 }
 
-// replay gives a repeated key the response to its first request, once that has ended.
+// replay gives a duplicate key the response to its first request, once that has ended.
 func (f *Forwarder) replay(ctx context.Context, c *exchanger.Call, r *keykeeper.Record) exchanger.Result {
 	if c.Deadline > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, (c.Deadline - f.Clock.Now()).Duration())
 		defer cancel()
 	}
-	result, answer, ended := r.Wait(ctx)
+	result, response, ended := r.Wait(ctx)
 	switch {
 	case !ended:
 		return exchanger.Lost(exchanger.ReasonDeadline, "")
 	case result.Outcome != exchanger.Answered:
 		return result
-	case answer == nil:
-		return exchanger.Result{Outcome: exchanger.Answered, Reason: exchanger.ReasonNotKept, Upstream: result.Upstream}
+	case response == nil:
+		return exchanger.Result{Outcome: exchanger.Answered, Reason: exchanger.ReasonResponseNotKept, Upstream: result.Upstream}
 	}
-	a := answer.Answer
-	a.Header = a.Header.Clone()
-	a.Header.Set(HeaderReplayed, "1")
-	if c.Start(a) != nil {
+	resp := response.Response
+	resp.Header = resp.Header.Clone()
+	resp.Header.Set(HeaderReplayed, "1")
+	if c.Start(resp) != nil {
 		return exchanger.Result{Outcome: exchanger.Answered, Reason: exchanger.ReasonCancelled}
 	}
-	if len(answer.Body) > 0 && c.Write(answer.Body) != nil {
+	if len(response.Body) > 0 && c.Write(response.Body) != nil {
 		return exchanger.Result{Outcome: exchanger.Answered, Reason: exchanger.ReasonCancelled}
 	}
 	return exchanger.Result{Outcome: exchanger.Answered, Whole: true, Upstream: result.Upstream}
@@ -236,31 +237,31 @@
 // another daemon.
 func (f *Forwarder) ServeOutcome(w http.ResponseWriter, r *http.Request) {
 	key := keykeeper.Key(r.URL.Query().Get("Key"))
-	a := OutcomeAnswer{Key: string(key), State: "absent"}
+	o := OutcomeResponse{Key: string(key), State: "absent"}
 	s := f.Snapshot()
 	if key == "" || s == nil {
 		w.WriteHeader(http.StatusBadRequest)
-		_ = json.NewEncoder(w).Encode(OutcomeAnswer{Reason: "Key is missing"})
+		_ = json.NewEncoder(w).Encode(OutcomeResponse{Reason: "Key is missing"})
 		return
 	}
 	h, ok := f.home(s, key)
 	switch {
 	case !ok:
-		a.Outcome = exchanger.Unknown.String()
-		a.Reason = string(exchanger.ReasonHomeLost)
+		o.Outcome = exchanger.Unknown.String()
+		o.Reason = string(exchanger.ReasonKeyHomeLost)
 	case h.Incarnation != f.Self().Incarnation:
 		http.Redirect(w, r, "http://"+h.Callers+r.URL.RequestURI(), http.StatusTemporaryRedirect)
 		return
 	default:
-		f.lookUp(&a, key)
+		f.lookUp(&o, key)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(a)
+	_ = json.NewEncoder(w).Encode(o)
 }
 
 // lookUpLinked responds to another daemon that asks whether a key is held here.
 func (f *Forwarder) lookUpLinked(key keykeeper.Key) exchanger.Result {
-	state, result := f.Keys.Look(key)
+	state, result := f.Keys.Lookup(key)
 	switch state {
 	case keykeeper.Running:
 		return exchanger.Lost(exchanger.ReasonNone, "")
@@ -268,17 +269,17 @@
 		result.Reason = exchanger.ReasonNone
 		return result
 	}
-	return exchanger.Refused(exchanger.ReasonKeyAbsent, 0)
+	return exchanger.Refused(exchanger.ReasonKeyUnknown, 0)
 }
 
-func (f *Forwarder) lookUp(a *OutcomeAnswer, key keykeeper.Key) {
-	state, result := f.Keys.Look(key)
+func (f *Forwarder) lookUp(o *OutcomeResponse, key keykeeper.Key) {
+	state, result := f.Keys.Lookup(key)
 	switch state {
 	case keykeeper.Running:
-		a.State = "running"
+		o.State = "running"
 	case keykeeper.Ended:
-		a.State = "ended"
-		a.Outcome = result.Outcome.String()
-		a.Reason = string(result.Reason)
+		o.State = "ended"
+		o.Outcome = result.Outcome.String()
+		o.Reason = string(result.Reason)
 	}
 }
--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -91,7 +91,7 @@
 	if t.fingerprint != nil {
 		return *t.fingerprint, true
 	}
-	body := t.call.Short
+	body := t.call.ShortBody
 	if t.body != nil {
 		prefix, whole := t.body.prefix()
 		if !whole {
@@ -121,8 +121,8 @@
 	if !ok {
 		return exchanger.Result{}, false
 	}
-	t.observation = f.Quarantine.Look(known, t.observation)
-	return exchanger.Refused(exchanger.ReasonQuarantined, t.observation.After), t.observation.Barred
+	t.observation = f.Quarantine.Check(known, t.observation)
+	return exchanger.Refused(exchanger.ReasonQuarantined, t.observation.After), t.observation.Refused
 }
 
 // updateSuspect records what the result of an attempt says about its call: that it crashed the
@@ -131,7 +131,7 @@
 	if f.Quarantine == nil {
 		return
 	}
-	crashed := r.Reason == exchanger.ReasonUpstreamEnded
+	crashed := r.Reason == exchanger.ReasonUpstreamTerminated
 	innocent := r.Outcome == exchanger.Answered && r.Whole && t.status < http.StatusInternalServerError
 	if !crashed && (!innocent || !f.Quarantine.HasSuspects()) {
 		return
@@ -141,17 +141,17 @@
 	case !ok:
 	case crashed:
 		t.observation.Fingerprint = known
-		t.isolated = f.Quarantine.Crashed(t.observation).Isolated()
+		t.isolated = f.Quarantine.RecordCrash(t.observation).Isolated()
 	default:
-		f.Quarantine.Answered(known)
+		f.Quarantine.RecordAnswer(known)
 	}
 }
 
-// Admit refuses a call that was quarantined while it waited for a slot.
-func (f *Forwarder) Admit(c *exchanger.Call) (exchanger.Result, bool) {
+// RefuseQuarantined refuses a call that was quarantined while it waited for a slot.
+func (f *Forwarder) RefuseQuarantined(c *exchanger.Call) (exchanger.Result, bool) {
 	if c.Body != nil || !f.anySuspects() {
 		return exchanger.Result{}, false
 	}
-	left, held := f.Quarantine.Remaining(fingerprint(c, c.Short))
-	return exchanger.Refused(exchanger.ReasonQuarantined, left), held
+	remaining, held := f.Quarantine.Remaining(fingerprint(c, c.ShortBody))
+	return exchanger.Refused(exchanger.ReasonQuarantined, remaining), held
 }
--- a/internal/request/forwarder/route.go
+++ b/internal/request/forwarder/route.go
@@ -71,7 +71,7 @@
 	// suspect before its last attempt. isolated means that the call has crashed more than one
 	// upstream.
 	fingerprint *quarantiner.Fingerprint
-	observation quarantiner.Sighting
+	observation quarantiner.Observation
 	isolated    bool
 }
 
@@ -91,9 +91,9 @@
 		t.call.Body = t.body
 	}
 	start := t.call.Start
-	t.call.Start = func(a exchanger.Answer) error {
-		t.started, t.status = true, a.Status
-		return start(a)
+	t.call.Start = func(resp exchanger.Response) error {
+		t.started, t.status = true, resp.Status
+		return start(resp)
 	}
 	admitted := t.call.Admitted
 	t.call.Admitted = func() {
@@ -130,7 +130,7 @@
 // well, 27 to 64 of 100 concurrent requests were refused.
 func reachedUpstream(r exchanger.Result) bool {
 	switch r.Reason {
-	case exchanger.ReasonNotOwner, exchanger.ReasonLinkDial, exchanger.ReasonStopping, exchanger.ReasonNoEntry:
+	case exchanger.ReasonNotOwner, exchanger.ReasonLinkUnreachable, exchanger.ReasonStopping, exchanger.ReasonNoEntry:
 		return false
 	}
 	return true
@@ -140,8 +140,8 @@
 // or later.
 func retryable(r exchanger.Reason) bool {
 	switch r {
-	case exchanger.ReasonNotOwner, exchanger.ReasonLinkDial, exchanger.ReasonUpstreamDial,
-		exchanger.ReasonUpstreamBusy, exchanger.ReasonPaused, exchanger.ReasonNoUpstream,
+	case exchanger.ReasonNotOwner, exchanger.ReasonLinkUnreachable, exchanger.ReasonUpstreamUnreachable,
+		exchanger.ReasonUpstreamRefused, exchanger.ReasonMembershipExpired, exchanger.ReasonNoUpstream,
 		exchanger.ReasonStopping, exchanger.ReasonNoEntry:
 		return true
 	}
@@ -172,7 +172,7 @@
 // recordAttempt records that a daemon was asked. If its upstream could not be dialled, the
 // daemon may be asked again: it has taken that upstream out of use.
 func (t *attempts) recordAttempt(i registrar.Incarnation, r exchanger.Result) {
-	t.attempted[i] = r.Reason != exchanger.ReasonUpstreamDial
+	t.attempted[i] = r.Reason != exchanger.ReasonUpstreamUnreachable
 }
 
 // chooseCandidate returns the daemon to run the call: this one while it has a free slot, else
@@ -210,10 +210,10 @@
 	// Peer dials a missing link, for the benefit of later requests: a daemon without a link to
 	// an owner would never use its slots.
 	p := f.Links.Peer(f.Base, m)
-	if !p.Prompt() {
+	if !p.Responsive() {
 		return candidate{}, false
 	}
-	free, slots := p.Free(k)
+	free, slots := p.FreeSlots(k)
 	return candidate{peer: p, free: free, slots: slots}, slots > 0
 }
 
@@ -228,8 +228,8 @@
 // unresponsive reports whether m is known not to respond: its process has terminated, or the
 // link is up but nothing comes back.
 func (f *Forwarder) unresponsive(m registrar.Member) bool {
-	p := f.Links.Known(m.Incarnation)
-	return p != nil && (p.Gone() || p.Up() && !p.Prompt())
+	p := f.Links.ExistingPeer(m.Incarnation)
+	return p != nil && (p.Terminated() || p.Up() && !p.Responsive())
 }
 
 // chooseRelay picks a random daemon of the site that will choose the owner.
--- a/internal/standin/delayer/conn.go
+++ b/internal/standin/delayer/conn.go
@@ -9,163 +9,164 @@
 )
 
 const (
-	// lineBytes is how much may be under way in one direction, as on a line
-	// of 350 ms and 1.5 MB/s, or 35 ms and 15 MB/s.
-	lineBytes = 1 << 19
+	// maxInFlightBytes is the bandwidth-delay product per direction, as of a link
+	// with 350 ms and 1.5 MB/s, or 35 ms and 15 MB/s.
+	maxInFlightBytes = 1 << 19
 
-	pieceBytes = 32 << 10
+	chunkBytes = 32 << 10
 )
 
 type (
-	// line is one direction: bytes that become due.
-	line struct {
+	// pipe carries data in one direction and delivers it after a delay.
+	pipe struct {
 		delay time.Duration
 
-		lock   sync.Mutex
-		wake   *sync.Cond
-		pieces []piece
-		held   int
-		err    error
-		until  time.Time
-		timer  *time.Timer
+		lock     sync.Mutex
+		changed  *sync.Cond
+		chunks   []chunk
+		buffered int
+		err      error
+		deadline time.Time
+		timer    *time.Timer
 	}
 
-	piece struct {
+	chunk struct {
 		bytes []byte
 		due   time.Time
 	}
 
-	// conn is a connection with a line in each direction.
+	// conn is a connection with a pipe in each direction.
 	conn struct {
 		net.Conn
-		in  *line
-		out *line
+		in  *pipe
+		out *pipe
 	}
 )
 
-// Wrap returns c with a one-way delay. Without one it returns c itself.
+// Wrap returns c with a one-way delay, or c itself if delay is not positive.
 func Wrap(c net.Conn, delay time.Duration) net.Conn {
 	if delay <= 0 {
 		return c
 	}
-	d := &conn{Conn: c, in: newLine(delay), out: newLine(delay)}
+	d := &conn{Conn: c, in: newPipe(delay), out: newPipe(delay)}
 	go d.runIn()
 	go d.runOut()
 	return d
 }
 
-func newLine(delay time.Duration) *line {
-	l := &line{delay: delay}
-	l.wake = sync.NewCond(&l.lock)
-	return l
+func newPipe(delay time.Duration) *pipe {
+	p := &pipe{delay: delay}
+	p.changed = sync.NewCond(&p.lock)
+	return p
 }
 
-// put adds bytes that arrive after the delay. It waits while the line is full.
-func (l *line) put(b []byte) error {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	for l.held >= lineBytes && l.err == nil {
-		l.wake.Wait()
+// enqueue adds data to be delivered after the delay. It blocks while the pipe is full.
+func (p *pipe) enqueue(b []byte) error {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	for p.buffered >= maxInFlightBytes && p.err == nil {
+		p.changed.Wait()
 	}
-	if l.err != nil {
-		return l.err
+	if p.err != nil {
+		return p.err
 	}
-	l.pieces = append(l.pieces, piece{append([]byte(nil), b...), time.Now().Add(l.delay)})
-	l.held += len(b)
-	l.wake.Broadcast()
+	p.chunks = append(p.chunks, chunk{append([]byte(nil), b...), time.Now().Add(p.delay)})
+	p.buffered += len(b)
+	p.changed.Broadcast()
 	return nil
 }
 
-// end lets readers have what is under way and then err.
-func (l *line) end(err error) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if l.err == nil {
-		l.err = err
+// closeWith makes reads return err once the data in flight has been read.
+func (p *pipe) closeWith(err error) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if p.err == nil {
+		p.err = err
 	}
-	l.wake.Broadcast()
+	p.changed.Broadcast()
 }
 
-// take reads bytes that are due.
-func (l *line) take(b []byte) (int, error) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+// dequeue reads data whose delay has passed and blocks until there is some.
+func (p *pipe) dequeue(b []byte) (int, error) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	for {
-		if !l.until.IsZero() && !time.Now().Before(l.until) {
+		if !p.deadline.IsZero() && !time.Now().Before(p.deadline) {
 			return 0, os.ErrDeadlineExceeded
 		}
-		if len(l.pieces) == 0 && l.err != nil {
-			return 0, l.err
+		if len(p.chunks) == 0 && p.err != nil {
+			return 0, p.err
 		}
-		if len(l.pieces) > 0 {
-			wait := time.Until(l.pieces[0].due)
+		if len(p.chunks) > 0 {
+			wait := time.Until(p.chunks[0].due)
 			if wait <= 0 {
-				return l.first(b), nil
+				return p.readFirst(b), nil
 			}
-			l.wakeAfter(wait)
+			p.wakeAfter(wait)
 		}
-		l.wake.Wait()
+		p.changed.Wait()
 	}
 }
 
-func (l *line) first(b []byte) int {
-	p := &l.pieces[0]
-	n := copy(b, p.bytes)
-	p.bytes = p.bytes[n:]
-	l.held -= n
-	if len(p.bytes) == 0 {
-		l.pieces = l.pieces[1:]
+func (p *pipe) readFirst(b []byte) int {
+	first := &p.chunks[0]
+	n := copy(b, first.bytes)
+	first.bytes = first.bytes[n:]
+	p.buffered -= n
+	if len(first.bytes) == 0 {
+		p.chunks = p.chunks[1:]
 	}
-	l.wake.Broadcast()
+	p.changed.Broadcast()
 	return n
 }
 
-func (l *line) wakeAfter(d time.Duration) {
+// wakeAfter wakes the waiting readers after d.
+func (p *pipe) wakeAfter(d time.Duration) {
 	time.AfterFunc(d, func() {
-		l.lock.Lock()
-		defer l.lock.Unlock()
-		l.wake.Broadcast()
+		p.lock.Lock()
+		defer p.lock.Unlock()
+		p.changed.Broadcast()
 	})
 }
 
-func (l *line) setDeadline(t time.Time) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	l.until = t
-	if l.timer != nil {
-		l.timer.Stop()
+func (p *pipe) setDeadline(t time.Time) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.deadline = t
+	if p.timer != nil {
+		p.timer.Stop()
 	}
 	if !t.IsZero() {
-		l.timer = time.AfterFunc(time.Until(t), func() {
-			l.lock.Lock()
-			defer l.lock.Unlock()
-			l.wake.Broadcast()
+		p.timer = time.AfterFunc(time.Until(t), func() {
+			p.lock.Lock()
+			defer p.lock.Unlock()
+			p.changed.Broadcast()
 		})
 	}
-	l.wake.Broadcast()
+	p.changed.Broadcast()
 }
 
 func (c *conn) runIn() {
-	b := make([]byte, pieceBytes)
+	b := make([]byte, chunkBytes)
 	for {
 		n, err := c.Conn.Read(b)
-		if n > 0 && c.in.put(b[:n]) != nil {
+		if n > 0 && c.in.enqueue(b[:n]) != nil {
 			return
 		}
 		if err != nil {
-			c.in.end(err)
+			c.in.closeWith(err)
 			return
 		}
 	}
 }
 
 func (c *conn) runOut() {
-	b := make([]byte, pieceBytes)
+	b := make([]byte, chunkBytes)
 	for {
-		n, err := c.out.take(b)
+		n, err := c.out.dequeue(b)
 		if n > 0 {
 			if _, err := c.Conn.Write(b[:n]); err != nil {
-				c.out.end(err)
+				c.out.closeWith(err)
 				return
 			}
 		}
@@ -176,35 +177,35 @@
 	}
 }
 
-// Read reads what has arrived.
-func (c *conn) Read(b []byte) (int, error) { return c.in.take(b) }
+// Read returns data that has arrived.
+func (c *conn) Read(b []byte) (int, error) { return c.in.dequeue(b) }
 
-// Write sends bytes on their way.
+// Write queues b for delivery after the delay.
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.out.put(b); err != nil {
+	if err := c.out.enqueue(b); err != nil {
 		return 0, err
 	}
 	return len(b), nil
 }
 
-// Close ends the connection once what is under way has arrived.
+// Close closes the connection once the data in flight has been delivered.
 func (c *conn) Close() error {
-	c.in.end(net.ErrClosed)
-	c.out.end(io.EOF)
+	c.in.closeWith(net.ErrClosed)
+	c.out.closeWith(io.EOF)
 	return nil
 }
 
-// SetDeadline bounds reads. Writes wait for room only.
+// SetDeadline sets the read deadline. Writes block only while the pipe is full.
 func (c *conn) SetDeadline(t time.Time) error {
 	c.in.setDeadline(t)
 	return nil
 }
 
-// SetReadDeadline bounds reads.
+// SetReadDeadline sets the read deadline.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.in.setDeadline(t)
 	return nil
 }
 
-// SetWriteDeadline does nothing: writes wait for room only.
+// SetWriteDeadline does nothing: writes block only while the pipe is full.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/standin/payload/stream.go
+++ b/internal/standin/payload/stream.go
@@ -10,58 +10,59 @@
 	"github.com/rotisserie/eris"
 )
 
-// The parts of a request to a stand-in upstream.
+// Query parameters of a request to a stand-in upstream.
 const (
-	// ParamToken names the request; ParamBytes is the length of the answer.
+	// ParamToken identifies the request; ParamBytes is the length of the response.
 	ParamToken = "Token"
 	ParamBytes = "Bytes"
 
 	seedBytes = 32
 )
 
-// Stream is the answer to one token: the same bytes each time.
+// Stream generates the response to a token. Equal arguments of New give equal bytes.
 type Stream struct {
-	source *rand.ChaCha8
-	left   int64
+	source    *rand.ChaCha8
+	remaining int64
 }
 
-// New returns the answer of the given length to a token and a request body.
+// New returns the response of the given length to a token and a request body.
 func New(token string, body []byte, length int64) *Stream {
 	var seed [seedBytes]byte
 	binary.LittleEndian.PutUint64(seed[0:], xxhash.Sum64String(token))
 	binary.LittleEndian.PutUint64(seed[8:], xxhash.Sum64(body))
-	return &Stream{source: rand.NewChaCha8(seed), left: length}
+	return &Stream{source: rand.NewChaCha8(seed), remaining: length}
 }
 
-// Read returns the next bytes of the answer.
+// Read implements io.Reader.
 func (s *Stream) Read(p []byte) (int, error) {
-	if s.left == 0 {
+	if s.remaining == 0 {
 		return 0, io.EOF
 	}
-	if int64(len(p)) > s.left {
-		p = p[:s.left]
+	if int64(len(p)) > s.remaining {
+		p = p[:s.remaining]
 	}
 	n, _ := s.source.Read(p)
-	s.left -= int64(n)
+	s.remaining -= int64(n)
 	return n, nil
 }
 
-// Verify reads an answer and compares it with the one that is due.
+// Verify reads a response, compares it with want, and returns the number of
+// bytes that matched.
 func Verify(r io.Reader, want *Stream) (int64, error) {
 	var total int64
-	got := make([]byte, 32<<10)
-	due := make([]byte, len(got))
+	received := make([]byte, 32<<10)
+	expected := make([]byte, len(received))
 	for {
-		n, err := r.Read(got)
+		n, err := r.Read(received)
 		if n > 0 {
-			if m, _ := io.ReadFull(want, due[:n]); m < n || !bytes.Equal(got[:n], due[:n]) {
-				return total, eris.Errorf("wrong byte behind %d", total)
+			if m, _ := io.ReadFull(want, expected[:n]); m < n || !bytes.Equal(received[:n], expected[:n]) {
+				return total, eris.Errorf("response content differs after byte %d", total)
 			}
 			total += int64(n)
 		}
 		if err == io.EOF {
-			if want.left > 0 {
-				return total, eris.Errorf("%d bytes short", want.left)
+			if want.remaining > 0 {
+				return total, eris.Errorf("response is %d bytes too short", want.remaining)
 			}
 			return total, nil
 		}
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -16,22 +16,22 @@
 const objectsPath = "/Objects/"
 
 type (
-	// Faults is what goes wrong. The zero value is a platform in good health.
+	// Faults are the faults to inject. The zero value injects none.
 	Faults struct {
-		// Down refuses every call with status 503.
+		// Down makes every call fail with status 503.
 		Down bool
 		// SlowMillis delays every call.
 		SlowMillis timekeeper.Millis
-		// LoseAnswers is how many of the next writes take effect and then lose
-		// their answer with the connection.
+		// LoseAnswers is the number of next writes that take effect but whose
+		// connection is closed without a response.
 		LoseAnswers int
-		// LosePrefix restricts LoseAnswers to objects with such names.
+		// LosePrefix restricts LoseAnswers to objects whose names have this prefix.
 		LosePrefix string
-		// DownAfterLoss refuses every call once an answer was lost.
+		// DownAfterLoss sets Down once a response has been lost.
 		DownAfterLoss bool
 	}
 
-	// Counts is how many calls were made.
+	// Counts is the number of calls by kind, and of watches that wait now.
 	Counts struct {
 		Reads   uint64
 		Writes  uint64
@@ -39,8 +39,8 @@
 		Waiting int
 	}
 
-	// Server is the object API over HTTP. The zero value serves an empty store
-	// to anybody; Token restricts it.
+	// Server serves the object API over HTTP. The zero value has an empty store and
+	// accepts any caller; a non-empty Token is required as a bearer token.
 	Server struct {
 		Store Store
 		Token string
@@ -51,21 +51,21 @@
 	}
 )
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the faults to inject.
 func (s *Server) SetFaults(f Faults) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.faults = f
 }
 
-// Counts returns the calls so far.
+// Counts returns the number of calls so far.
 func (s *Server) Counts() Counts {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.counts
 }
 
-// ServeHTTP serves the API, and /Faults and /Counts for whoever runs it.
+// ServeHTTP serves the API, and the control paths /Faults and /Counts.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/Faults":
@@ -76,10 +76,10 @@
 		return
 	}
 	if s.Token != "" && r.Header.Get("Authorization") != "Bearer "+s.Token {
-		http.Error(w, "unknown token", http.StatusUnauthorized)
+		http.Error(w, "invalid token", http.StatusUnauthorized)
 		return
 	}
-	if !s.arrive(w, r) {
+	if !s.admit(w, r) {
 		return
 	}
 	switch {
@@ -94,8 +94,8 @@
 	}
 }
 
-// arrive counts a call and lets the faults that stop it happen.
-func (s *Server) arrive(w http.ResponseWriter, r *http.Request) bool {
+// admit counts a call, delays it, and reports whether it may proceed.
+func (s *Server) admit(w http.ResponseWriter, r *http.Request) bool {
 	s.lock.Lock()
 	f := s.faults
 	switch {
@@ -115,7 +115,7 @@
 		}
 	}
 	if f.Down {
-		http.Error(w, "out of service", http.StatusServiceUnavailable)
+		http.Error(w, "service unavailable", http.StatusServiceUnavailable)
 		return false
 	}
 	return true
@@ -138,7 +138,7 @@
 			http.NotFound(w, r)
 			return
 		}
-		w.Header().Set("ETag", tag(o.Revision))
+		w.Header().Set("ETag", etag(o.Revision))
 		_, _ = w.Write(o.Body)
 	case http.MethodPut, http.MethodDelete:
 		s.serveWrite(w, r, name)
@@ -156,30 +156,31 @@
 		http.Error(w, "object too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	c, ok := conditionOf(r)
+	c, ok := parseCondition(r)
 	if !ok {
-		http.Error(w, "a write needs If-Match or If-None-Match", http.StatusBadRequest)
+		http.Error(w, "a write requires If-Match or If-None-Match", http.StatusBadRequest)
 		return
 	}
-	revision, done := s.apply(r.Method, name, body, c)
-	if s.losesAnswer(name) {
+	revision, written := s.applyWrite(r.Method, name, body, c)
+	if s.dropResponse(name) {
 		panic(http.ErrAbortHandler)
 	}
-	if !done {
+	if !written {
 		http.Error(w, "another revision", http.StatusPreconditionFailed)
 		return
 	}
-	w.Header().Set("ETag", tag(revision))
+	w.Header().Set("ETag", etag(revision))
 }
 
-func (s *Server) apply(method, name string, body []byte, c condition) (storer.Revision, bool) {
+func (s *Server) applyWrite(method, name string, body []byte, c condition) (storer.Revision, bool) {
 	if method == http.MethodDelete {
 		return 0, s.Store.remove(name, c)
 	}
 	return s.Store.put(name, body, c)
 }
 
-func (s *Server) losesAnswer(name string) bool {
+// dropResponse reports whether the response to a write of an object is to be lost.
+func (s *Server) dropResponse(name string) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.faults.LoseAnswers == 0 || !strings.HasPrefix(name, s.faults.LosePrefix) {
@@ -190,7 +191,9 @@
 	return true
 }
 
-func conditionOf(r *http.Request) (condition, bool) {
+// parseCondition returns the condition in the header of a write. It reports false if there is no
+// valid one.
+func parseCondition(r *http.Request) (condition, bool) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return condition{absent: true}, true
 	}
@@ -199,7 +202,7 @@
 		return condition{}, false
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
-	return condition{at: storer.Revision(n)}, err == nil
+	return condition{expected: storer.Revision(n)}, err == nil
 }
 
 func (s *Server) serveList(w http.ResponseWriter, r *http.Request) {
@@ -211,20 +214,20 @@
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	since, _ := strconv.ParseUint(q.Get("Since"), 10, 64)
-	wait, _ := strconv.ParseInt(q.Get("WaitMillis"), 10, 64)
-	s.count(1)
-	defer s.count(-1)
-	end := time.NewTimer(timekeeper.Millis(wait).Duration())
-	defer end.Stop()
+	waitMillis, _ := strconv.ParseInt(q.Get("WaitMillis"), 10, 64)
+	s.addWaiting(1)
+	defer s.addWaiting(-1)
+	timeout := time.NewTimer(timekeeper.Millis(waitMillis).Duration())
+	defer timeout.Stop()
 	for {
-		b, changed := s.Store.since(q["Prefix"], storer.Revision(since))
+		b, changed := s.Store.changedSince(q["Prefix"], storer.Revision(since))
 		if len(b.Objects) > 0 {
 			writeJSON(w, b)
 			return
 		}
 		select {
 		case <-changed:
-		case <-end.C:
+		case <-timeout.C:
 			writeJSON(w, b)
 			return
 		case <-r.Context().Done():
@@ -233,13 +236,13 @@
 	}
 }
 
-func (s *Server) count(n int) {
+func (s *Server) addWaiting(n int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.counts.Waiting += n
 }
 
-func tag(r storer.Revision) string {
+func etag(r storer.Revision) string {
 	return strconv.Quote(strconv.FormatUint(uint64(r), 10))
 }
 
--- a/internal/standin/signer/authority.go
+++ b/internal/standin/signer/authority.go
@@ -1,6 +1,6 @@
-// Package signer stands in for the authority of a deployment: it signs certificates
-// for daemons and writes the files that their settings name. It is for tests and
-// stops the process when the system gives it no randomness or no files.
+// Package signer is a test certificate authority: it signs the certificates of
+// daemons and writes the files that their settings name. It panics if randomness
+// or the file system fails.
 package signer
 
 import (
@@ -19,26 +19,26 @@
 )
 
 const (
-	fileMode  = 0o600
-	mostBits  = 62
-	validFrom = -time.Hour
+	fileMode        = 0o600
+	serialBits      = 62
+	notBeforeOffset = -time.Hour
 )
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// New makes an authority that is valid for an hour.
+// New returns an authority whose certificate is valid for an hour.
 func New() *Authority {
 	a := &Authority{key: newKey()}
 	a.cert = a.sign(nil, &a.key.PublicKey, time.Now().Add(time.Hour))
 	return a
 }
 
-// Files writes what a daemon needs into dir: a certificate signed by a, its key, and
-// the authorities to trust.
+// Files writes the files of a daemon to dir: a certificate signed by a and valid
+// until the given time, its key, and the authorities to trust.
 func (a *Authority) Files(dir string, until time.Time, trust ...*Authority) encrypter.Files {
 	key := newKey()
 	der := must(x509.MarshalPKCS8PrivateKey(key))
@@ -47,22 +47,22 @@
 		Key:         filepath.Join(dir, "link.key"),
 		Authority:   filepath.Join(dir, "authority.pem"),
 	}
-	var pool []byte
-	for _, x := range trust {
-		pool = append(pool, block("CERTIFICATE", x.cert.Raw)...)
+	var trusted []byte
+	for _, authority := range trust {
+		trusted = append(trusted, encodePEM("CERTIFICATE", authority.cert.Raw)...)
 	}
-	write(f.Certificate, block("CERTIFICATE", a.sign(a.cert, &key.PublicKey, until).Raw))
-	write(f.Key, block("PRIVATE KEY", der))
-	write(f.Authority, pool)
+	writeFile(f.Certificate, encodePEM("CERTIFICATE", a.sign(a.cert, &key.PublicKey, until).Raw))
+	writeFile(f.Key, encodePEM("PRIVATE KEY", der))
+	writeFile(f.Authority, trusted)
 	return f
 }
 
-// sign signs for a key, by the authority itself when parent is nil.
+// sign issues a certificate for a key. A nil parent makes it a self-signed authority.
 func (a *Authority) sign(parent *x509.Certificate, key *ecdsa.PublicKey, until time.Time) *x509.Certificate {
 	c := &x509.Certificate{
-		SerialNumber: must(rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), mostBits))),
+		SerialNumber: must(rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))),
 		Subject:      pkix.Name{CommonName: "gullvale"},
-		NotBefore:    time.Now().Add(validFrom),
+		NotBefore:    time.Now().Add(notBeforeOffset),
 		NotAfter:     until,
 		IsCA:         parent == nil,
 		KeyUsage:     x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
@@ -80,12 +80,12 @@
 	return must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
 }
 
-func block(kind string, der []byte) []byte {
-	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
+func encodePEM(blockType string, der []byte) []byte {
+	return pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
 }
 
-func write(name string, text []byte) {
-	if err := os.WriteFile(name, text, fileMode); err != nil {
+func writeFile(name string, data []byte) {
+	if err := os.WriteFile(name, data, fileMode); err != nil {
 		panic("signer: " + err.Error())
 	}
 }
--- a/internal/version/steerer/snapshot.go
+++ b/internal/version/steerer/snapshot.go
@@ -46,8 +46,8 @@
 		responses map[responseKey][][]byte
 	}
 
-	// Answer is the response to a lookup.
-	Answer struct {
+	// Response is the response to a lookup.
+	Response struct {
 		Service resolver.ServiceName
 		Site    registrar.Site
 		// Entries are the daemons to contact, in order of preference.
@@ -98,7 +98,7 @@
 func (s *Snapshot) addService(service resolver.ServiceName) error {
 	var targets planner.Targets
 	var last *route
-	var lastSplit sharer.Division
+	var lastSplit sharer.Split
 	for _, origin := range origins(s.Settings.Sites) {
 		d, ok := s.Plan.Nearest(service, origin)
 		if !ok {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (s *Snapshot) buildRoute(service resolver.ServiceName, d sharer.Division) (*route, error) {
+func (s *Snapshot) buildRoute(service resolver.ServiceName, d sharer.Split) (*route, error) {
 	r := &route{hash: hasher.OfString(string(service)), chooser: sharer.NewChooser(d)}
 	for _, name := range r.chooser.Sites() {
 		site := registrar.Site(name)
@@ -160,8 +160,8 @@
 // once per snapshot.
 func (s *Snapshot) responsesFor(service resolver.ServiceName, site registrar.Site) ([][]byte, error) {
 	k := responseKey{service, site}
-	if a, ok := s.responses[k]; ok {
-		return a, nil
+	if encoded, ok := s.responses[k]; ok {
+		return encoded, nil
 	}
 	members := s.View.Serving(site)
 	set := s.Settings.At(site, service)
@@ -182,7 +182,7 @@
 }
 
 func (s *Snapshot) encodeResponse(set *resolver.Service, members []registrar.Member, first int, fallback []Entry) ([]byte, error) {
-	a := Answer{
+	resp := Response{
 		Service:        set.Name,
 		Site:           set.Site,
 		LifetimeMillis: set.LookupLifetime,
@@ -191,21 +191,21 @@
 	}
 	for i := range min(len(members), set.Entries) {
 		m := members[(first+i)%len(members)]
-		a.Entries = append(a.Entries, Entry{Address: m.Callers, Incarnation: m.Incarnation})
+		resp.Entries = append(resp.Entries, Entry{Address: m.Callers, Incarnation: m.Incarnation})
 	}
-	a.Entries = append(a.Entries, fallback...)
-	a.Entries = a.Entries[:min(len(a.Entries), set.Entries)]
+	resp.Entries = append(resp.Entries, fallback...)
+	resp.Entries = resp.Entries[:min(len(resp.Entries), set.Entries)]
 	if s.Self.Callers != "" && s.Self.Site.Region() != set.Site.Region() {
-		a.Entries = append(a.Entries, Entry{Address: s.Self.Callers, Incarnation: s.Self.Incarnation})
+		resp.Entries = append(resp.Entries, Entry{Address: s.Self.Callers, Incarnation: s.Self.Incarnation})
 	}
-	b, err := json.Marshal(a)
+	b, err := json.Marshal(resp)
 	return b, eris.Wrap(err, "encode lookup response")
 }
 
 // fallbackEntries returns further entries of the region, for use when all entries of
 // the site are lost. It returns none if the site itself has enough members.
-func (s *Snapshot) fallbackEntries(site registrar.Site, members []registrar.Member, most int) []Entry {
-	if len(members) >= most {
+func (s *Snapshot) fallbackEntries(site registrar.Site, members []registrar.Member, limit int) []Entry {
+	if len(members) >= limit {
 		return nil
 	}
 	used := map[registrar.Incarnation]bool{}
@@ -245,9 +245,9 @@
 	return r.sites[i]
 }
 
-// Answer returns the encoded response to a lookup, or nil if there is no entry. It does
+// Response returns the encoded response to a lookup, or nil if there is no entry. It does
 // not allocate; the caller must not modify the result.
-func (s *Snapshot) Answer(service resolver.ServiceName, b locator.Block) []byte {
+func (s *Snapshot) Response(service resolver.ServiceName, b locator.Block) []byte {
 	r := s.route(service, b.Origin)
 	if r == nil {
 		return nil
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -27,20 +27,18 @@
 const (
 	token = "a-token-of-the-tests"
 
-	// patience bounds every wait for something that must come. It is no
-	// measure: a test that runs into it has failed.
-	patience = 60 * time.Second
-	glance   = 20 * time.Millisecond
-
-	// dumpTime bounds how long a process of a failed test may take to print its
-	// goroutines.
-	dumpTime = 5 * time.Second
+	// waitTimeout bounds every wait for an expected condition; a test that reaches it fails.
+	waitTimeout  = 60 * time.Second
+	pollInterval = 20 * time.Millisecond
+
+	// dumpTimeout bounds how long a process of a failed test may take to print its goroutines.
+	dumpTimeout = 5 * time.Second
 )
 
 var binaries string
 
 type (
-	// process is one process that a test started.
+	// process is a process started by a test.
 	process struct {
 		t      testing.TB
 		name   string
@@ -50,30 +48,29 @@
 		exited chan struct{}
 	}
 
-	// daemon is a gullvaled and its addresses.
+	// daemon is a running gullvaled and its addresses.
 	daemon struct {
 		*process
 		callers   string
 		links     string
 		operators string
-		// linksBound is what links listen on, links what others are told.
+		// linksBound is the listen address for links; links is the advertised one.
 		linksBound string
 	}
 
-	// daemonOptions is what differs between the daemons of a test.
+	// daemonOptions holds the settings that differ between the daemons of a test.
 	daemonOptions struct {
 		name     string
 		region   string
 		domain   string
 		platform string
 		seeds    []string
-		// advertise is the address for links that others are told, "" for
-		// the one listened on.
+		// advertise is the address for links advertised to others; "" means the listen address.
 		advertise string
-		// callers, links and operators are listened on, "" for any port.
+		// callers, links and operators are listen addresses; "" means any port.
 		callers, links, operators string
-		// more is further lines of the settings.
-		more string
+		// extraSettings is appended to the top-level settings.
+		extraSettings string
 	}
 )
 
@@ -95,8 +92,8 @@
 	os.Exit(code)
 }
 
-// start runs a binary until the test ends.
-func start(t testing.TB, name string, args ...string) *process {
+// startProcess runs a binary until the test ends.
+func startProcess(t testing.TB, name string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, exited: make(chan struct{})}
 	p.cmd = exec.Command(filepath.Join(binaries, name), args...)
@@ -106,7 +103,7 @@
 		t.Fatal(err)
 	}
 	go p.run()
-	t.Cleanup(p.end)
+	t.Cleanup(p.kill)
 	return p
 }
 
@@ -115,31 +112,33 @@
 	close(p.exited)
 }
 
-func (p *process) end() {
+// kill kills the process, even if it is suspended. The test fails if the process reported a data
+// race.
+func (p *process) kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	if p.t.Failed() {
-		p.dump()
+		p.dumpGoroutines()
 	}
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 	if strings.Contains(p.text(), "DATA RACE") {
-		p.t.Errorf("%s has a data race", p.name)
+		p.t.Errorf("%s reported a data race", p.name)
 	}
 	if p.t.Failed() {
 		p.t.Logf("output of %s:\n%s", p.name, p.text())
 	}
 }
 
-// dump has the process print what its goroutines wait for, and end.
-func (p *process) dump() {
+// dumpGoroutines makes the process print its goroutines and exit.
+func (p *process) dumpGoroutines() {
 	_ = p.cmd.Process.Signal(syscall.SIGQUIT)
 	select {
 	case <-p.exited:
-	case <-time.After(dumpTime):
+	case <-time.After(dumpTimeout):
 	}
 }
 
-// Write collects the output.
+// Write appends to the collected output.
 func (p *process) Write(b []byte) (int, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -159,19 +158,19 @@
 	}
 }
 
-// exit waits for the process and returns its exit code.
-func (p *process) exit() int {
+// waitExit waits until the process has exited and returns its exit code.
+func (p *process) waitExit() int {
 	p.t.Helper()
 	select {
 	case <-p.exited:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		p.t.Fatalf("%s did not exit", p.name)
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// field waits for a JSON line that has the field and returns the line.
-func (p *process) field(name string) map[string]any {
+// waitField waits for a JSON output line that contains the field and returns the line.
+func (p *process) waitField(name string) map[string]any {
 	p.t.Helper()
 	var found map[string]any
 	eventually(p.t, p.name+" prints "+name, func() bool {
@@ -188,30 +187,33 @@
 	return found
 }
 
-// eventually waits until a condition holds.
-func eventually(t testing.TB, what string, done func() bool) {
+// eventually polls until condition returns true and fails the test after waitTimeout.
+func eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	end := time.Now().Add(patience)
-	for !done() {
-		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+	deadline := time.Now().Add(waitTimeout)
+	for !condition() {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met: %s", description)
 		}
-		time.Sleep(glance)
+		time.Sleep(pollInterval)
 	}
 }
 
+// startPlatform starts a stand-in platform and returns its URL.
 func startPlatform(t testing.TB) string {
 	t.Helper()
-	p := start(t, "gullvale-standin", "platform")
-	return "http://" + p.field("Address")["Address"].(string)
+	p := startProcess(t, "gullvale-standin", "platform")
+	return "http://" + p.waitField("Address")["Address"].(string)
 }
 
+// startUpstream starts a stand-in upstream and returns its address.
 func startUpstream(t testing.TB, args ...string) string {
 	t.Helper()
-	p := start(t, "gullvale-standin", append([]string{"upstream", "--service-millis", "5"}, args...)...)
-	return p.field("Address")["Address"].(string)
+	p := startProcess(t, "gullvale-standin", append([]string{"upstream", "--service-millis", "5"}, args...)...)
+	return p.waitField("Address")["Address"].(string)
 }
 
+// startDaemon starts a daemon and waits until it listens.
 func startDaemon(t testing.TB, o daemonOptions) *daemon {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), o.name+".toml")
@@ -230,13 +232,13 @@
 
 [Tokens]
 anna = "administer %s"
-`, o.name, o.region, o.domain, anyPort(o.callers), anyPort(o.links), anyPort(o.operators),
-		quoted(o.seeds), advertised(o.advertise), o.more, o.platform, operator.HashToken(token))
+`, o.name, o.region, o.domain, orAnyPort(o.callers), orAnyPort(o.links), orAnyPort(o.operators),
+		quoteList(o.seeds), advertiseSetting(o.advertise), o.extraSettings, o.platform, operator.HashToken(token))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d := &daemon{process: start(t, "gullvaled", "--settings", file)}
-	line := d.field("callers")
+	d := &daemon{process: startProcess(t, "gullvaled", "--settings", file)}
+	line := d.waitField("callers")
 	d.callers = line["callers"].(string)
 	d.links = line["links"].(string)
 	d.linksBound = line["linksBound"].(string)
@@ -244,21 +246,21 @@
 	return d
 }
 
-func anyPort(address string) string {
+func orAnyPort(address string) string {
 	if address == "" {
 		return "127.0.0.1:0"
 	}
 	return address
 }
 
-func advertised(links string) string {
+func advertiseSetting(links string) string {
 	if links == "" {
 		return ""
 	}
 	return fmt.Sprintf("Advertise.Links = %q", links)
 }
 
-func quoted(list []string) string {
+func quoteList(list []string) string {
 	var out []string
 	for _, s := range list {
 		out = append(out, fmt.Sprintf("%q", s))
@@ -266,41 +268,41 @@
 	return strings.Join(out, ", ")
 }
 
-// call makes one call of an operator and decodes the answer.
-func (d *daemon) call(method, path string, body, answer any) int {
+// callOperator sends a request to the operator API and decodes the response.
+func (d *daemon) callOperator(method, path string, body, response any) int {
 	d.t.Helper()
 	b, err := json.Marshal(body)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	q, err := http.NewRequest(method, "http://"+d.operators+path, bytes.NewReader(b))
+	req, err := http.NewRequest(method, "http://"+d.operators+path, bytes.NewReader(b))
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	q.Header.Set("Authorization", "Bearer "+token)
-	p, err := http.DefaultClient.Do(q)
+	req.Header.Set("Authorization", "Bearer "+token)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	defer p.Body.Close()
-	if answer != nil {
-		if err := json.NewDecoder(p.Body).Decode(answer); err != nil {
+	defer resp.Body.Close()
+	if response != nil {
+		if err := json.NewDecoder(resp.Body).Decode(response); err != nil {
 			d.t.Fatal(err)
 		}
 	}
-	return p.StatusCode
+	return resp.StatusCode
 }
 
-// metric returns a counter or gauge of the daemon, added up over its labels.
+// metric returns the value of a counter or gauge of the daemon, summed over its labels.
 func (d *daemon) metric(name string) float64 {
 	d.t.Helper()
-	p, err := http.Get("http://" + d.operators + operator.PathMetrics)
+	resp, err := http.Get("http://" + d.operators + operator.PathMetrics)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	defer p.Body.Close()
+	defer resp.Body.Close()
 	var sum float64
-	s := bufio.NewScanner(p.Body)
+	s := bufio.NewScanner(resp.Body)
 	for s.Scan() {
 		text, ok := strings.CutPrefix(s.Text(), "gullvale_"+name)
 		if !ok || !strings.HasPrefix(text, "{") && !strings.HasPrefix(text, " ") {
@@ -314,78 +316,78 @@
 	return sum
 }
 
-// ready waits until the daemon is healthy.
-func (d *daemon) ready() {
+// waitReady waits until the daemon reports that it is healthy.
+func (d *daemon) waitReady() {
 	d.t.Helper()
 	eventually(d.t, d.name+" is healthy", func() bool {
-		p, err := http.Get("http://" + d.operators + operator.PathHealth)
+		resp, err := http.Get("http://" + d.operators + operator.PathHealth)
 		if err != nil {
 			return false
 		}
-		p.Body.Close()
-		return p.StatusCode == http.StatusOK
+		resp.Body.Close()
+		return resp.StatusCode == http.StatusOK
 	})
 }
 
-// apply replaces the whole tree and waits until it is in force everywhere.
-func (d *daemon) apply(members int, text string) {
+// applySettings replaces all settings and waits until they are in force on all members.
+func (d *daemon) applySettings(members int, text string) {
 	d.t.Helper()
 	is := is.New(d.t)
-	d.ready()
-	var a operator.ChangeAnswer
-	is.Equal(d.call(http.MethodPost, operator.PathChange, operator.ChangeRequest{TOML: text}, &a), http.StatusOK)
-	eventually(d.t, "settings are in force on all", func() bool {
-		var f operator.InForceAnswer
-		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, a.Number)
-		return d.call(http.MethodGet, path, nil, &f) == http.StatusOK && f.Members == members && f.InForce == members
+	d.waitReady()
+	var accepted operator.ChangeAnswer
+	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{TOML: text}, &accepted), http.StatusOK)
+	eventually(d.t, "settings are in force on all members", func() bool {
+		var status operator.InForceResponse
+		path := fmt.Sprintf("%s?Number=%d", operator.PathInForce, accepted.Number)
+		return d.callOperator(http.MethodGet, path, nil, &status) == http.StatusOK && status.Members == members && status.InForce == members
 	})
 }
 
-// fault sets what goes wrong at a stand-in platform.
-func fault(t testing.TB, address string, f platform.Faults) {
+// setFaults sets the faults of a stand-in platform.
+func setFaults(t testing.TB, address string, f platform.Faults) {
 	t.Helper()
 	b, err := json.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := http.Post(address+"/Faults", "application/json", bytes.NewReader(b))
+	resp, err := http.Post(address+"/Faults", "application/json", bytes.NewReader(b))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Body.Close()
+	resp.Body.Close()
 }
 
-// counts returns what a stand-in upstream did.
-func counts(t testing.TB, address string) server.Counts {
+// upstreamCounts returns the counts of a stand-in upstream.
+func upstreamCounts(t testing.TB, address string) server.Counts {
 	t.Helper()
-	p, err := http.Get("http://" + address + "/Journal")
+	resp, err := http.Get("http://" + address + "/Journal")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Body.Close()
+	defer resp.Body.Close()
 	var c server.Counts
-	if err := json.NewDecoder(p.Body).Decode(&c); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(&c); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// runs returns how often each token ran, by the journals of all upstreams.
-func runs(t testing.TB, upstreams ...string) []map[string]int {
+// upstreamJournals returns the journal of each upstream: how often each token ran.
+func upstreamJournals(t testing.TB, upstreams ...string) []map[string]int {
 	t.Helper()
 	var out []map[string]int
 	for _, u := range upstreams {
-		out = append(out, counts(t, u).Journal)
+		out = append(out, upstreamCounts(t, u).Journal)
 	}
 	return out
 }
 
-// send sends one request to an entry.
+// send sends a request to the daemon as a caller.
 func (d *daemon) send(ctx context.Context, method, service, target string, body io.Reader) (*http.Response, error) {
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+d.callers+target, body)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+d.callers+target, body)
 	if err != nil {
 		return nil, err
 	}
-	q.Header.Set("Gullvale-Service", service)
-	return http.DefaultClient.Do(q)
+	req.Header.Set("Gullvale-Service", service)
+	return http.DefaultClient.Do(req)
 }
