--- a/internal/process/operator/server.go
+++ b/internal/process/operator/server.go
@@ -143,9 +143,9 @@
 	case o.role == configurer.RoleNone:
 		return "the token is missing or unknown"
 	case required == configurer.RoleAdminister:
-		return o.name + " is not allowed to do this: it requires the role administer"
+		return o.name + " may not do this; it takes the role administer"
 	}
-	return o.name + " is not allowed to do this: it requires the role steer"
+	return o.name + " may not do this; it takes the role steer"
 }
 
 func (s *Server) settings(_ context.Context, _ identity, r *http.Request) (any, error) {
@@ -259,7 +259,7 @@
 func (s *Server) storeBlocks(ctx context.Context, _ identity, r *http.Request) (any, error) {
 	name := r.URL.Query().Get("Name")
 	if name == "" || strings.ContainsAny(name, "/ ") {
-		return nil, inputError{"Name is missing or contains a space or slash"}
+		return nil, inputError{"Name is missing or has a blank or slash in it"}
 	}
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/internal/request/forwarder/body.go
+++ b/internal/request/forwarder/body.go
@@ -15,7 +15,7 @@
 // to this size is handed over together with the head, and can be handed over again.
 const maxBufferedBody = 16 << 10
 
-var errBodyTooLarge = errors.New("body exceeds the limit of the service")
+var errBodyTooLarge = errors.New("body over the limit of the service")
 
 // setBody reads a short body and prepares to stream a long one. It reports false if it refused
 // the request.
@@ -43,7 +43,7 @@
 func (x *exchange) readShortBody(c *exchanger.Call, limit int64) bool {
 	head, err := io.ReadAll(io.LimitReader(x.request.Body, min(maxBufferedBody, limit)+1))
 	if err != nil {
-		x.reject(http.StatusBadRequest, exchanger.ReasonBodyIncomplete, "the request body is incomplete")
+		x.reject(http.StatusBadRequest, exchanger.ReasonBodyIncomplete, "the body broke off")
 		return false
 	}
 	if int64(len(head)) > limit {
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -176,7 +176,7 @@
 		x.service = at
 	}
 	if x.service == nil || site == "" {
-		return x.reject(http.StatusServiceUnavailable, exchanger.ReasonNoEntry, fmt.Sprintf("no site accepts requests for %s", name))
+		return x.reject(http.StatusServiceUnavailable, exchanger.ReasonNoEntry, fmt.Sprintf("no site takes %s", name))
 	}
 	if x.shedIfFull() {
 		return nil, false
@@ -222,13 +222,13 @@
 	if h := r.Header.Get(HeaderBlock); h != "" {
 		a, err := netip.ParseAddr(h)
 		if err != nil {
-			return locator.Block{}, fmt.Errorf("%s %q is not an IP address", HeaderBlock, h)
+			return locator.Block{}, fmt.Errorf("%s %q is not an IP number", HeaderBlock, h)
 		}
 		return s.Find(a), nil
 	}
 	a, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
-		return locator.Block{}, fmt.Errorf("parse the address of the caller: %w", err)
+		return locator.Block{}, fmt.Errorf("no address of the caller: %w", err)
 	}
 	return s.Find(a.Addr()), nil
 }
--- a/internal/request/forwarder/shed.go
+++ b/internal/request/forwarder/shed.go
@@ -39,6 +39,6 @@
 		return false
 	}
 	r := exchanger.Refused(exchanger.ReasonEntryFull, shedRetryAfter)
-	x.refuse(http.StatusServiceUnavailable, r, fmt.Sprintf("%d requests in flight, limit %d", current, limit))
+	x.refuse(http.StatusServiceUnavailable, r, fmt.Sprintf("%d requests here, of %d", current, limit))
 	return true
 }
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -76,7 +76,7 @@
 		return
 	}
 	if s.Token != "" && r.Header.Get("Authorization") != "Bearer "+s.Token {
-		http.Error(w, "invalid token", http.StatusUnauthorized)
+		http.Error(w, "unknown token", http.StatusUnauthorized)
 		return
 	}
 	if !s.admit(w, r) {
@@ -115,7 +115,7 @@
 		}
 	}
 	if f.Down {
-		http.Error(w, "service unavailable", http.StatusServiceUnavailable)
+		http.Error(w, "out of service", http.StatusServiceUnavailable)
 		return false
 	}
 	return true
@@ -158,7 +158,7 @@
 	}
 	c, ok := parseCondition(r)
 	if !ok {
-		http.Error(w, "a write requires If-Match or If-None-Match", http.StatusBadRequest)
+		http.Error(w, "a write needs If-Match or If-None-Match", http.StatusBadRequest)
 		return
 	}
 	revision, written := s.applyWrite(r.Method, name, body, c)
