--- a/internal/request/assigner/assigner_test.go
+++ b/internal/request/assigner/assigner_test.go
@@ -69,7 +69,7 @@
 }
 
 // TestNewKeysAreSpreadEvenly assigns 450 keys to 24 upstreams. By hash alone, the fullest
-// upstream has at least 1.4 times the mean; with homes, less than 1.25.
+// upstream has more than 1.35 times the mean; with homes, less than 1.25.
 func TestNewKeysAreSpreadEvenly(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(8, 8, 8)
@@ -90,9 +90,9 @@
 	is.True(byHome < 1.25)
 }
 
-// TestRegionKeepsWhatItCarries checks that a region with few upstreams keeps the share of its
-// keys that they can serve.
-func TestRegionKeepsWhatItCarries(t *testing.T) {
+// TestSmallRegionKeepsKeysInProportionToSlots checks that a region with few upstreams keeps
+// the share of its keys that they can serve.
+func TestSmallRegionKeepsKeysInProportionToSlots(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(2, 10, 12)
 	local := func(region string) (n int) {
@@ -144,9 +144,9 @@
 	is.Equal(a.Home(key(1), anyRequest, f.all).Upstream, next)
 }
 
-// TestCrowdedHomeGivesKeysAway checks that keys move from an overloaded upstream, but only a
-// few each second.
-func TestCrowdedHomeGivesKeysAway(t *testing.T) {
+// TestKeysMoveFromCrowdedHomeAtLimitedRate checks that keys move from an overloaded upstream,
+// but only a few each second.
+func TestKeysMoveFromCrowdedHomeAtLimitedRate(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(4)
 	a := f.assigner("east")
@@ -181,7 +181,7 @@
 	is.True(moved(1) < len(kept))
 }
 
-func TestDaemonsAgree(t *testing.T) {
+func TestDaemonsAgreeOnHomes(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(8, 8, 8)
 	a, b := f.assigner("east"), f.assigner("east")
@@ -236,11 +236,11 @@
 	}
 }
 
-// TestKeysGoBackToWhereTheyAreKnown takes the upstreams of two failure domains away in turn
-// and returns them, as planned maintenance does. From the second time on, keys that must leave
+// TestKeysReturnToFormerHomes takes the upstreams of two failure domains away in turn and
+// returns them, as planned maintenance does. From the second time on, keys that must leave
 // their home find upstreams that know them: only a few of 200 keys run uncached, while without
 // former homes all that leave do.
-func TestKeysGoBackToWhereTheyAreKnown(t *testing.T) {
+func TestKeysReturnToFormerHomes(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(16)
 	a := f.assigner("east")
@@ -274,8 +274,9 @@
 	is.True(runAll(second) <= displaced/4)
 }
 
-// TestVisitsAreRemembered records more runs at other upstreams than are kept.
-func TestVisitsAreRemembered(t *testing.T) {
+// TestRecordVisitKeepsLatestUpstreams records more runs at other upstreams than are kept. The
+// latest ones are kept, without the home and without duplicates.
+func TestRecordVisitKeepsLatestUpstreams(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(8)
 	a := f.assigner("east")
@@ -297,11 +298,11 @@
 	is.Equal(a.Former(nil, key(2), f.all, anyRegion), nil)
 }
 
-// TestTightRoutesStayNear has a region with 2 of 16 upstreams and a third of the callers, who
-// use three routes, the tightest one the least. All keys of the tightest route have their home
-// in the region, those of the loosest in others, and no more of the work stays than the region
-// can serve.
-func TestTightRoutesStayNear(t *testing.T) {
+// TestTightestRouteStaysInCallersRegion has a region with 2 of 16 upstreams and a third of the
+// callers, who use three routes, the tightest one the least. All keys of the tightest route
+// have their home in the region, those of the loosest in others, and no more of the work stays
+// than the region can serve.
+func TestTightestRouteStaysInCallersRegion(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(2, 7, 7)
 	a := f.assigner("east")
@@ -323,7 +324,7 @@
 			}
 			stays := a.Home(key(i), r.request, f.all).Upstream.Site.Region() == "east"
 			if i < 1000 {
-				break // what routes there are is not known at first
+				break // the demand of the routes is not known at first
 			}
 			asked[r.request.Route]++
 			work += float64(r.request.Objective)
--- a/internal/request/assigner/load_test.go
+++ b/internal/request/assigner/load_test.go
@@ -130,7 +130,8 @@
 	return float64(inTime) / float64(sent)
 }
 
-// visitPolicy sends a key to the next upstream of its candidates while the first is full.
+// visitPolicy sends a key to the next of its candidates while the first is full. The key has
+// no home that could move there.
 func visitPolicy(k hasher.Hash, all []*cataloger.Upstream, states func([]*cataloger.Upstream) []placer.State) *cataloger.Upstream {
 	list := placer.Candidates(nil, k, all, anyRegion)
 	i, _ := placer.Placer{}.Choose(states(list), true)
@@ -157,9 +158,10 @@
 	}
 }
 
-// TestServiceReturnsAfterALoss checks that service recovers after a loss of upstreams with
-// homes, while keys that run at other upstreams without moving keep all of them overloaded.
-func TestServiceReturnsAfterALoss(t *testing.T) {
+// TestServiceRecoversAfterLossOfUpstreams checks that service recovers after a loss of
+// upstreams with homes, while keys that run at other upstreams without moving keep all of them
+// overloaded.
+func TestServiceRecoversAfterLossOfUpstreams(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(24)
 	byVisits := simulate(f, visitPolicy)
--- a/internal/request/assigner/placement_test.go
+++ b/internal/request/assigner/placement_test.go
@@ -38,9 +38,9 @@
 	is.Equal(a.Home(key(1), anyRequest, nil), assigner.Placement{})
 }
 
-// TestPlacementOfLearntHome checks that a home used only by another daemon is not reported as
-// the previous home.
-func TestPlacementOfLearntHome(t *testing.T) {
+// TestPlacementOfHomeUsedOnlyByOtherDaemon checks that a home used only by another daemon is
+// not reported as the previous home.
+func TestPlacementOfHomeUsedOnlyByOtherDaemon(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(4)
 	a := f.assigner("east")
@@ -50,7 +50,7 @@
 	is.Equal(p, assigner.Placement{Upstream: p.Upstream, Reason: assigner.HomeGone})
 }
 
-func TestPlacementOfBarredHome(t *testing.T) {
+func TestPlacementOfHomeInRegionNotAllowed(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(4, 4)
 	a := f.assigner("east")
@@ -76,8 +76,9 @@
 	is.Equal(a.Move(key(1), home), assigner.Placement{Upstream: home, Reason: assigner.HomeFull, Former: true, Left: other})
 }
 
-// TestPlacementOfRelief starts with all keys at one of four upstreams: some of them move.
-func TestPlacementOfRelief(t *testing.T) {
+// TestPlacementOfMovesFromCrowdedHome starts with all keys at one of four upstreams: some of
+// them move.
+func TestPlacementOfMovesFromCrowdedHome(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(4)
 	a := f.assigner("east")
@@ -101,7 +102,7 @@
 	is.True(relieved > 0)
 }
 
-func TestPlacementBeyondMostKeys(t *testing.T) {
+func TestPlacementBeyondMaxKeys(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(2)
 	a := f.assigner("east")
--- a/internal/request/assigner/without_test.go
+++ b/internal/request/assigner/switched_off_test.go
@@ -10,9 +10,9 @@
 	"github.com/gullvale/gullvale/internal/version/cataloger"
 )
 
-// TestSwitchedOff applies the load that each mechanism handles and counts how often it acts:
-// more than never with all mechanisms, never without it.
-func TestSwitchedOff(t *testing.T) {
+// TestMechanismsSwitchedOff applies the load that each mechanism handles and counts how often
+// it acts: more than never with all mechanisms, never without it.
+func TestMechanismsSwitchedOff(t *testing.T) {
 	tests := []struct {
 		mechanism switcher.Mechanism
 		acts      func(without switcher.Set) int
--- a/internal/request/dispatcher/behind_test.go
+++ b/internal/request/dispatcher/config_lag_test.go
@@ -20,10 +20,10 @@
 	return text.Body.String()
 }
 
-// TestNoRouteIsToldApart sends requests without a route, two while the configuration is
-// current and one while an unread change is known. The two cases are counted under different
-// reasons.
-func TestNoRouteIsToldApart(t *testing.T) {
+// TestNoRouteAndNoRouteYetAreCountedSeparately sends requests without a route, two while the
+// configuration is current and one while an unread change is known. The two cases are counted
+// under different reasons.
+func TestNoRouteAndNoRouteYetAreCountedSeparately(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, matcher.Idempotent)
 	for _, x := range []struct {
--- a/internal/request/dispatcher/dispatcher_test.go
+++ b/internal/request/dispatcher/dispatcher_test.go
@@ -154,14 +154,14 @@
 		{"good", matcher.Once, succeeds, 200, 1},
 		{"once: refused by the first", matcher.Once, refuses, 200, 2},
 		{"once: lost", matcher.Once, abortsConnection, 502, 1},
-		{"once: cut", matcher.Once, truncates, 502, 1},
+		{"once: truncated", matcher.Once, truncates, 502, 1},
 		{"once: failed", matcher.Once, fails, 500, 1},
-		{"once: forged", matcher.Once, omitsProof, 502, 1},
+		{"once: no proof of origin", matcher.Once, omitsProof, 502, 1},
 		{"idempotent: refused by the first", matcher.Idempotent, refuses, 200, 2},
 		{"idempotent: lost", matcher.Idempotent, abortsConnection, 200, 2},
-		{"idempotent: cut", matcher.Idempotent, truncates, 200, 2},
+		{"idempotent: truncated", matcher.Idempotent, truncates, 200, 2},
 		{"idempotent: failed", matcher.Idempotent, fails, 200, 2},
-		{"idempotent: forged", matcher.Download, omitsProof, 200, 2},
+		{"download: no proof of origin", matcher.Download, omitsProof, 200, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -180,7 +180,7 @@
 
 // A terminated upstream ran nothing: it uses up no attempt, but it does use the retry budget,
 // and it is reported once.
-func TestEndedUpstreamsUseNoAttempt(t *testing.T) {
+func TestTerminatedUpstreamsUseNoAttempt(t *testing.T) {
 	misdirects := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) }
 	for _, kind := range []matcher.Kind{matcher.Once, matcher.Idempotent} {
 		is := is.New(t)
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestRefusalIsTrue(t *testing.T) {
+func TestUnavailableIfNoUpstreamTakesRequest(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, matcher.Once)
 	p, _ := s.do(http.MethodPost, "none", nil)
@@ -274,9 +274,9 @@
 	}
 }
 
-// TestWarmthIsTakenForWhatIsSent considers cold upstreams among others. Warm-up room is used
-// up only by requests that are sent to a cold upstream, not by those that go elsewhere.
-func TestWarmthIsTakenForWhatIsSent(t *testing.T) {
+// TestOnlySentRequestsUseWarmupRoom considers cold upstreams among others. Warm-up room is
+// used up only by requests that are sent to a cold upstream, not by those that go elsewhere.
+func TestOnlySentRequestsUseWarmupRoom(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, matcher.Once)
 	const room = 5
@@ -318,7 +318,7 @@
 	is.True(sent <= 20+3+4) // 20 first attempts, the burst, and a fifth of the requests
 }
 
-func TestWhatUpstreamsGet(t *testing.T) {
+func TestRequestAsSentToUpstream(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, matcher.Once)
 	var got *http.Request
@@ -370,10 +370,10 @@
 	is.Equal(s.ran("id"), 0)
 }
 
-// TestNothingIsDeniedWhileBehind has an entry know of a change that it has not read. A request
-// that its configuration does not allow gets a retryable refusal, since the newer
+// TestDenialIsRetryableWhileConfigIsBehind has an entry know of a change that it has not read.
+// A request that its configuration does not allow gets a retryable refusal, since the newer
 // configuration may allow it.
-func TestNothingIsDeniedWhileBehind(t *testing.T) {
+func TestDenialIsRetryableWhileConfigIsBehind(t *testing.T) {
 	tests := []struct {
 		name    string
 		current int
@@ -413,7 +413,7 @@
 	}
 }
 
-func TestLongAnswerThatBreaksLooksBroken(t *testing.T) {
+func TestLongResponseThatBreaksOffIsVisiblyIncomplete(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, matcher.Once)
 	s.add(t, "u1", func(w http.ResponseWriter, _ *http.Request) {
@@ -425,7 +425,7 @@
 	is.Equal(text, "broken")
 }
 
-func TestStoppingEntryTakesNothingThatItCannotFinish(t *testing.T) {
+func TestStoppingEntryRefusesRequestsItCannotFinish(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, matcher.Once)
 	s.add(t, "u1", succeeds)
--- a/internal/request/dispatcher/identify_test.go
+++ b/internal/request/dispatcher/identify_test.go
@@ -32,9 +32,9 @@
 	return authenticator.Organisation{Name: authenticator.Name(name), Keys: []authenticator.Digest{authenticator.DigestOf(key)}}
 }
 
-// TestUnknownKeyWhileBehind sends a key that is not in the configuration in force while an
-// unread change is known: the change may contain the key.
-func TestUnknownKeyWhileBehind(t *testing.T) {
+// TestUnknownKeyWhileConfigIsBehind sends a key that is not in the configuration in force
+// while an unread change is known: the change may contain the key.
+func TestUnknownKeyWhileConfigIsBehind(t *testing.T) {
 	is := is.New(t)
 	s := newHarnessWithKeys(t, matcher.Idempotent, keyOf("a", "k"))
 	s.add(t, "u", succeeds)
@@ -58,9 +58,9 @@
 	is.Equal(s.ran("unknown")+s.ran("behind")+s.ran("none"), 0)
 }
 
-// TestKeyTakenAwayWhileWaiting revokes a key between the two attempts of a request. The
+// TestKeyRevokedBetweenAttempts revokes a key between the two attempts of a request. The
 // configuration is consulted before each attempt.
-func TestKeyTakenAwayWhileWaiting(t *testing.T) {
+func TestKeyRevokedBetweenAttempts(t *testing.T) {
 	is := is.New(t)
 	s := newHarnessWithKeys(t, matcher.Idempotent, keyOf("a", "k"))
 	without := *s.Config()
--- a/internal/request/dispatcher/limit_test.go
+++ b/internal/request/dispatcher/limit_test.go
@@ -60,9 +60,9 @@
 	is.Equal(p.StatusCode, http.StatusOK)
 }
 
-// TestTokenOfWhatDidNotRunComesBack has an upstream refuse requests, which uses up no tokens.
+// TestTokenOfRequestNotRunIsReturned has an upstream refuse requests, which uses up no tokens.
 // Requests that may have run do.
-func TestTokenOfWhatDidNotRunComesBack(t *testing.T) {
+func TestTokenOfRequestNotRunIsReturned(t *testing.T) {
 	tests := []struct {
 		name  string
 		kind  matcher.Kind
--- a/internal/request/dispatcher/loss_test.go
+++ b/internal/request/dispatcher/loss_test.go
@@ -22,19 +22,19 @@
 	}
 }
 
-// TestLossIsChecked has an upstream close the connection during a request in several ways,
-// which a new dial distinguishes.
-func TestLossIsChecked(t *testing.T) {
+// TestUpstreamStateAfterLostConnection has an upstream close the connection during a request
+// for several reasons. The state reported for it is found by dialling it again.
+func TestUpstreamStateAfterLostConnection(t *testing.T) {
 	tests := []struct {
 		name   string
 		serve  func(l **httptest.Server) http.HandlerFunc
 		before func(s *harness)
 		want   dispatcher.UpstreamState
 	}{
-		{"resets", func(**httptest.Server) http.HandlerFunc { return abortsConnection }, nil, dispatcher.Alive},
-		{"breaks off its answer", func(**httptest.Server) http.HandlerFunc { return truncates }, nil, dispatcher.Alive},
-		{"ends", terminates, nil, dispatcher.Terminated},
-		{"leaves", terminates, func(s *harness) { s.catalog.Remove("u") }, dispatcher.Leaving},
+		{"resets the connection", func(**httptest.Server) http.HandlerFunc { return abortsConnection }, nil, dispatcher.Alive},
+		{"breaks off its response", func(**httptest.Server) http.HandlerFunc { return truncates }, nil, dispatcher.Alive},
+		{"terminates", terminates, nil, dispatcher.Terminated},
+		{"terminates after removal from the catalog", terminates, func(s *harness) { s.catalog.Remove("u") }, dispatcher.Leaving},
 	}
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
--- a/internal/request/dispatcher/placement_test.go
+++ b/internal/request/dispatcher/placement_test.go
@@ -52,8 +52,9 @@
 	is.True(strings.Contains(text, `gullvale_placements{class="idempotent",kind="home gone, former home",service="s"} 1`))
 }
 
-// TestPlacementOfRepeats has the key's home break off a request and then be down.
-func TestPlacementOfRepeats(t *testing.T) {
+// TestPlacementOfRetryElsewhere has the key's home break off every request. Without another
+// upstream there is no placement; with one, the retry runs there.
+func TestPlacementOfRetryElsewhere(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, matcher.Idempotent)
 	s.Homes = &assigner.Assigner{Region: "east", Regions: []string{"east"}}
@@ -70,9 +71,9 @@
 	is.Equal(decision.Placement.Reason, assigner.RetriedElsewhere)
 }
 
-// TestPlacementBesideTheHome has the key's home turn cold. Its requests run elsewhere, the
+// TestPlacementWhileHomeIsCold has the key's home turn cold. Its requests run elsewhere, the
 // second one where the first ran.
-func TestPlacementBesideTheHome(t *testing.T) {
+func TestPlacementWhileHomeIsCold(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, matcher.Idempotent)
 	s.Homes = &assigner.Assigner{Region: "east", Regions: []string{"east"}}
@@ -93,8 +94,8 @@
 	}
 }
 
-// TestPlacementOfRepeatsAtHome has the key's home refuse a request once although it has room.
-func TestPlacementOfRepeatsAtHome(t *testing.T) {
+// TestPlacementOfRetryAtHome has the key's home refuse a request once although it has room.
+func TestPlacementOfRetryAtHome(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, matcher.Once)
 	s.Homes = &assigner.Assigner{Region: "east", Regions: []string{"east"}}
--- a/internal/request/dispatcher/quarantine_test.go
+++ b/internal/request/dispatcher/quarantine_test.go
@@ -16,9 +16,9 @@
 	return quarantiner.Content{Method: method, Host: "h.example", Target: "/x?y=z", Body: []byte("body"), Length: 4}
 }
 
-// TestQuarantinedIsRefusedAtOnce sends a request that is in quarantine, and others that differ
-// from it in one part each.
-func TestQuarantinedIsRefusedAtOnce(t *testing.T) {
+// TestQuarantinedRequestIsNotSent sends a request that is in quarantine, and others that
+// differ from it in one part each.
+func TestQuarantinedRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
 	s := newHarness(t, matcher.Idempotent)
 	s.add(t, "u", succeeds)
@@ -40,10 +40,10 @@
 	is.Equal(p.StatusCode, http.StatusOK)
 }
 
-// TestCrashIsRepeatedOnce counts how many upstreams one request crashes. The request that runs
-// during the first crash is usually innocent and is retried; after the second crash it is left
-// to the caller to send it again.
-func TestCrashIsRepeatedOnce(t *testing.T) {
+// TestRequestIsRetriedOnlyAfterFirstCrash counts how many upstreams one request crashes. A
+// request that runs during its first crash is usually innocent and is retried. After the
+// second crash the dispatcher does not retry it; only the caller may send it again.
+func TestRequestIsRetriedOnlyAfterFirstCrash(t *testing.T) {
 	tests := []struct {
 		name    string
 		kind    matcher.Kind
--- a/internal/request/dispatcher/without_test.go
+++ b/internal/request/dispatcher/switched_off_test.go
@@ -18,9 +18,9 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// TestSwitchedOff checks the effect of switching off each mechanism: with is the count with
-// the mechanism on, off the count with it switched off.
-func TestSwitchedOff(t *testing.T) {
+// TestMechanismsSwitchedOff checks the effect of switching off each mechanism: with is the
+// count with the mechanism on, off the count with it switched off.
+func TestMechanismsSwitchedOff(t *testing.T) {
 	tests := []struct {
 		mechanism switcher.Mechanism
 		count     func(*testing.T, switcher.Set) int
@@ -28,7 +28,7 @@
 	}{
 		{switcher.Homes, countHomes, 1, 0},
 		{switcher.RefusedStay, countSentToRefusing, 2, 1},
-		{switcher.BackOff, countDialsOfDead, 1, 2},
+		{switcher.BackOff, countDialsOfUnreachable, 1, 2},
 		{switcher.PipelinedRequests, countOverlapping, 1, 0},
 		{switcher.Waiting, countAnsweredWithFullHome, 0, 1},
 	}
@@ -81,9 +81,9 @@
 	return int(sent.Load())
 }
 
-// countDialsOfDead returns how often two requests at the same instant dial an upstream that
-// does not exist.
-func countDialsOfDead(t *testing.T, without switcher.Set) int {
+// countDialsOfUnreachable returns how often two requests at the same instant dial an upstream
+// that does not exist.
+func countDialsOfUnreachable(t *testing.T, without switcher.Set) int {
 	s := newHarnessWithHomes(t, without)
 	var dials atomic.Int64
 	s.Upstreams = &tracker.Set{
@@ -113,7 +113,7 @@
 }
 
 // countAnsweredWithFullHome returns how many requests are answered for a key whose home is
-// full, beside another upstream that is as busy as it can be without being full.
+// full, while another upstream is neither idle nor full.
 func countAnsweredWithFullHome(t *testing.T, without switcher.Set) int {
 	s := newHarnessWithHomes(t, without)
 	var answered atomic.Int64
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestDoubtStays has the only upstream take a request and break off. That no other upstream is
-// left to retry it does not mean that it did not run.
+// TestDoubtStays has the only upstream take a request and break off the connection. The
+// outcome is unknown, and stays so if a retry finds no other upstream and does not run.
 func TestDoubtStays(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
@@ -111,9 +111,10 @@
 	return m
 }
 
-// TestOwnerPassesOn sends many requests at once while the daemon that advertised free slots no
-// longer owns any and another daemon does. All requests are answered there.
-func TestOwnerPassesOn(t *testing.T) {
+// TestConcurrentRequestsReachNewOwner sends many requests at once while the daemon that
+// advertised free slots no longer owns any upstream and another daemon does. All requests are
+// answered by the latter.
+func TestConcurrentRequestsReachNewOwner(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, func(http.ResponseWriter, *http.Request) {})
 	former := startPeer(t, "b", func() exchanger.Result { return exchanger.Refused(exchanger.ReasonNotOwner, 0) })
--- a/internal/request/forwarder/quarantine_test.go
+++ b/internal/request/forwarder/quarantine_test.go
@@ -17,8 +17,7 @@
 
 // A daemon that chooses the owner for another entry must not read a body ahead to fingerprint
 // the request while another request is a suspect: the entry sends the body only once a slot is
-// held, so both would wait until the deadline. One of 54 uploads in a run of the test of
-// crashing requests at owners failed in this way.
+// held, so both would wait until the deadline.
 func TestLinkedBodyIsNotReadAhead(t *testing.T) {
 	is := is.New(t)
 	var got atomic.Int64
@@ -44,9 +43,9 @@
 	is.Equal(got.Load(), int64(40_000))
 }
 
-// TestLongBodiesAreToldApart quarantines a request with a long body. A request with the same
-// beginning and length is refused; one with another beginning or length is not.
-func TestLongBodiesAreToldApart(t *testing.T) {
+// TestLongBodyIsIdentifiedByPrefixAndLength quarantines a request with a long body. A request
+// with the same beginning and length is refused; one with another beginning or length is not.
+func TestLongBodyIsIdentifiedByPrefixAndLength(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 	f.Quarantine = &quarantiner.Quarantiner{}
--- a/internal/request/keykeeper/keeper_test.go
+++ b/internal/request/keykeeper/keeper_test.go
@@ -21,8 +21,8 @@
 
 var answered = exchanger.Result{Outcome: exchanger.Answered, Whole: true}
 
-// TestOneBegins has many goroutines begin the same key at once.
-func TestOneBegins(t *testing.T) {
+// TestConcurrentBeginsClaimKeyOnce has many goroutines begin the same key at once.
+func TestConcurrentBeginsClaimKeyOnce(t *testing.T) {
 	is := is.New(t)
 	k := newKeeper(new(atomic.Int64))
 	var begun, repeated atomic.Int64
--- a/internal/request/limiter/limits_test.go
+++ b/internal/request/limiter/limits_test.go
@@ -33,8 +33,9 @@
 	return g
 }
 
-// simulateLoad simulates 30 s with one hot organisation of each size for 6 s, callers that
-// move to one region, and, with faults, daemons that are killed or isolated.
+// simulateLoad simulates 30 s of load. A large, a medium and a small organisation in turn send
+// 8.5 times their demand for 6 s, and another one sends half of its demand in addition, in one
+// region. With faults, daemons are also isolated or killed.
 func simulateLoad(f *fleet, demands []float64, faults bool) result {
 	const start, end = 8 * second, 38 * second
 	f.run(start)
@@ -47,8 +48,8 @@
 	}
 	f.after(2*second, func() { f.generate(1, demands[1]/2, f.now+6*second, func(d int) bool { return f.region(d) == 0 }) })
 	if faults {
-		f.after(10*second, func() { f.disturb(0.3, f.isolate, 5*second) })
-		f.after(20*second, func() { f.disturb(0.5, f.kill, 2*second) })
+		f.after(10*second, func() { f.applyFault(0.3, f.isolate, 5*second) })
+		f.after(20*second, func() { f.applyFault(0.5, f.kill, 2*second) })
 		f.after(26*second, func() { f.kill(0) })
 		f.after(27*second, func() { f.restore(0) })
 	}
@@ -56,9 +57,9 @@
 	return f.result(end - start)
 }
 
-// disturb applies a fault to a share of the daemons, the leaders of two regions among them,
+// applyFault applies a fault to a share of the daemons, the leaders of two regions among them,
 // and restores them later.
-func (f *fleet) disturb(share float64, do func(int), later timekeeper.Millis) {
+func (f *fleet) applyFault(share float64, do func(int), later timekeeper.Millis) {
 	for d := range f.daemons {
 		if d < 2 || f.random.Float64() < share {
 			do(d)
@@ -69,17 +70,17 @@
 
 // strategies are all strategies to compare.
 var strategies = map[string]func(*fleet) strategy{
-	"counted":   func(f *fleet) strategy { return newAllocatorStrategy(f) },
+	"allocator": func(f *fleet) strategy { return newAllocatorStrategy(f) },
 	"equal":     func(f *fleet) strategy { return newEqualShares(f) },
-	"following": func(f *fleet) strategy { return newDemandShares(f) },
+	"demand":    func(f *fleet) strategy { return newDemandShares(f) },
 }
 
-// BenchmarkWays reports the cost and the violations of each strategy at three sizes, with the
-// same seeds.
-func BenchmarkWays(b *testing.B) {
+// BenchmarkStrategies reports the cost and the violations of each strategy at three sizes,
+// with the same seeds.
+func BenchmarkStrategies(b *testing.B) {
 	for _, n := range []int{10, 64, 300} {
 		for _, faults := range []bool{false, true} {
-			for _, name := range []string{"equal", "following", "counted"} {
+			for _, name := range []string{"equal", "demand", "allocator"} {
 				b.Run(fmt.Sprint(name, "/VMs=", n, "/faults=", faults), func(b *testing.B) {
 					for b.Loop() {
 						report(b, name, n, faults)
@@ -163,9 +164,10 @@
 	is.Equal(len(f.counts[2].admitted), len(f.counts[2].requested))
 }
 
-// TestPartsFollowCallers has all callers of an organisation move to one region. After a second
-// nearly all of them must be served there, although the region's own share is a third.
-func TestPartsFollowCallers(t *testing.T) {
+// TestTokensFollowCallersToAnotherRegion has all callers of an organisation move to one
+// region. After a second nearly all of them must be served there, although the region's own
+// share is a third.
+func TestTokensFollowCallersToAnotherRegion(t *testing.T) {
 	is := is.New(t)
 	all := normalized(&authenticator.Organisation{Name: "o", Limit: authenticator.Limit{PerSecond: 160, Burst: 160}})
 	f := newFleet(64, 5, all...)
@@ -187,9 +189,9 @@
 	is.Equal(late, 0)
 }
 
-// TestRefusedTogetherComeBackApart has many requests refused at once: each must get another
-// retry time.
-func TestRefusedTogetherComeBackApart(t *testing.T) {
+// TestRefusedRequestsGetDistinctRetryTimes has many requests refused at once: each must get
+// another retry time.
+func TestRefusedRequestsGetDistinctRetryTimes(t *testing.T) {
 	is := is.New(t)
 	all := normalized(&authenticator.Organisation{Name: "o", Limit: authenticator.Limit{PerSecond: 20, Burst: 2}})
 	core := limiter.Core{Tolerance: limiter.Tolerance{Window: 5 * second}}
--- a/internal/request/limiter/model_test.go
+++ b/internal/request/limiter/model_test.go
@@ -22,7 +22,7 @@
 	{"last message arrives", func(f *fleet) { f.release(len(f.held)-1, true) }},
 	{"first message is lost", func(f *fleet) { f.release(0, false) }},
 	{"200 ms pass", func(f *fleet) { f.run(f.now + 200) }},
-	{"0 is cut off, and missed", func(f *fleet) { f.isolate(0); f.run(f.now + leaderTimeout) }},
+	{"0 is isolated until others notice", func(f *fleet) { f.isolate(0); f.run(f.now + leaderTimeout) }},
 	{"0 is killed and starts again", func(f *fleet) { f.kill(0); f.restore(0) }},
 	{"0 is back", func(f *fleet) { f.restore(0) }},
 }
--- a/internal/request/placer/place_test.go
+++ b/internal/request/placer/place_test.go
@@ -24,7 +24,7 @@
 
 func anyRegion(string) bool { return true }
 
-func TestListMovesOnlyTheKeysOfWhatLeft(t *testing.T) {
+func TestRemovingUpstreamMovesOnlyItsKeys(t *testing.T) {
 	is := is.New(t)
 	all := catalog(24)
 	gone := all[7]
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestListKeepsToAllowedRegions(t *testing.T) {
+func TestCandidatesAreInAllowedRegions(t *testing.T) {
 	is := is.New(t)
 	for k := range 100 {
 		list := placer.Candidates(nil, hasher.OfString(fmt.Sprint(k)), catalog(24), func(r string) bool { return r == "region1" })
@@ -68,18 +68,18 @@
 		verdict placer.Verdict
 	}{
 		{"first", []placer.State{free, free}, false, 0, placer.Accepts},
-		{"waits in line at the first", []placer.State{{Slots: 6, Reported: 11}, free}, false, 0, placer.Accepts},
-		{"line too long", []placer.State{{Slots: 6, Reported: 13}, free}, false, 1, placer.QueueFull},
-		{"line for the urgent", []placer.State{{Slots: 6, Reported: 13}, free}, true, 0, placer.Accepts},
+		{"queue at the first", []placer.State{{Slots: 6, Reported: 11}, free}, false, 0, placer.Accepts},
+		{"queue too long", []placer.State{{Slots: 6, Reported: 13}, free}, false, 1, placer.QueueFull},
+		{"longer queue for the urgent", []placer.State{{Slots: 6, Reported: 13}, free}, true, 0, placer.Accepts},
 		{"own requests only", []placer.State{{Slots: 6, Own: 6, Reported: 6}, free}, false, 0, placer.Accepts},
-		{"own requests fill the line", []placer.State{{Slots: 6, Own: 13, Reported: 13}, free}, false, 1, placer.QueueFull},
+		{"own requests fill the queue", []placer.State{{Slots: 6, Own: 13, Reported: 13}, free}, false, 1, placer.QueueFull},
 		{"down", []placer.State{{Slots: 6, Down: true}, free}, false, 1, placer.Down},
 		{"failing", []placer.State{{Slots: 6, Failing: true, FailShare: 0.5}, free}, false, 1, placer.Failing},
 		{"failing little more than the other", []placer.State{{Slots: 6, Failing: true, FailShare: 0.5}, {Slots: 6, FailShare: 0.3}}, false, 0, placer.Failing},
 		{"failing, and the third much less", []placer.State{{Slots: 6, Failing: true, FailShare: 0.5}, {Slots: 6, FailShare: 0.3}, free}, false, 2, placer.Failing},
 		{"all failing", []placer.State{{Slots: 6, Failing: true}, {Slots: 6, Failing: true}}, false, 0, placer.Failing},
 		{"failing and the other full", []placer.State{{Slots: 6, Failing: true}, {Slots: 6, Reported: 16}}, false, 0, placer.Failing},
-		{"failing and tried", []placer.State{{Slots: 6, Failing: true, Attempted: true}, {Slots: 6, Down: true}}, false, -1, placer.Attempted},
+		{"failing and attempted", []placer.State{{Slots: 6, Failing: true, Attempted: true}, {Slots: 6, Down: true}}, false, -1, placer.Attempted},
 		{"all full", []placer.State{{Slots: 6, Reported: 16}, {Slots: 6, Own: 16, Reported: 16}}, true, -1, placer.QueueFull},
 		{"none", nil, true, -1, placer.Gone},
 	}
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestChooseHomed(t *testing.T) {
+func TestChooseWithHome(t *testing.T) {
 	free, busy, full := placer.State{Slots: 6}, placer.State{Slots: 6, Reported: 4}, placer.State{Slots: 6, Reported: 16}
 	tests := []struct {
 		name   string
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestKnownUpstreamThatRefusesSome checks upstreams that fail or refuse a share of their
+// TestFailingUpstreamThatKnowsKey checks upstreams that fail or refuse a share of their
 // requests, with and without knowledge of the request's key.
-func TestKnownUpstreamThatRefusesSome(t *testing.T) {
+func TestFailingUpstreamThatKnowsKey(t *testing.T) {
 	tests := []struct {
 		knows             bool
 		share, errorShare float64
@@ -138,9 +138,10 @@
 	}
 }
 
-// TestAllRefuseHalf has all upstreams refuse nearly half of their requests. A request that
-// leaves its home is served late elsewhere, which is worth a fifth, so most should stay.
-func TestAllRefuseHalf(t *testing.T) {
+// TestKeysStayHomeWhenAllUpstreamsRefuseHalf has all upstreams refuse nearly half of their
+// requests. A request that leaves its home is served late elsewhere, which is worth a fifth,
+// so most should stay.
+func TestKeysStayHomeWhenAllUpstreamsRefuseHalf(t *testing.T) {
 	is := is.New(t)
 	left, stayed := serviceValue(false), serviceValue(true)
 	t.Logf("value of 2,000 requests: %.0f if keys leave, %.0f if they stay", left, stayed)
--- a/internal/request/placer/without_test.go
+++ b/internal/request/placer/switched_off_test.go
@@ -14,9 +14,9 @@
 	return switcher.Of(switcher.All()...) &^ switcher.Of(m)
 }
 
-// TestSwitchedOff checks an upstream that one mechanism passes over: it is passed over with
-// all mechanisms and with that one alone, and accepted without it.
-func TestSwitchedOff(t *testing.T) {
+// TestMechanismsSwitchedOff checks an upstream that one mechanism passes over: it is passed
+// over with all mechanisms and with that one alone, and accepted without it.
+func TestMechanismsSwitchedOff(t *testing.T) {
 	tests := []struct {
 		mechanism switcher.Mechanism
 		state     placer.State
--- a/internal/request/quarantiner/fingerprint_test.go
+++ b/internal/request/quarantiner/fingerprint_test.go
@@ -8,8 +8,8 @@
 	"github.com/gullvale/gullvale/internal/request/quarantiner"
 )
 
-// TestFingerprintTellsRequestsApart changes one part of a request at a time.
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+// TestFingerprintDistinguishesRequests changes one part of a request at a time.
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	base := func() quarantiner.Content {
 		return quarantiner.Content{Method: "POST", Host: "a.example", Target: "/p?q=1", Caller: []string{"one", "two"}, Body: []byte("body"), Length: 4}
 	}
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestFingerprintIsRead(t *testing.T) {
+func TestParseFingerprint(t *testing.T) {
 	is := is.New(t)
 	f := quarantiner.Content{Target: "/"}.Fingerprint()
 	read, err := quarantiner.ParseFingerprint(f.String())
--- a/internal/request/quarantiner/quarantiner_test.go
+++ b/internal/request/quarantiner/quarantiner_test.go
@@ -65,9 +65,9 @@
 	return d.Check(f, quarantiner.Observation{}).Refused
 }
 
-// TestThirdCrashBarsEverywhere has one crash at each of three daemons, which quarantines the
-// request at every daemon.
-func TestThirdCrashBarsEverywhere(t *testing.T) {
+// TestThirdCrashQuarantinesAtAllDaemons has one crash at each of three daemons, which
+// quarantines the request at every daemon.
+func TestThirdCrashQuarantinesAtAllDaemons(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(5)
 	for n := range 3 {
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestRunsAtOnceCountAsOne runs a popular request at six upstreams that terminate at once:
-// none of the runs started after another one had crashed.
-func TestRunsAtOnceCountAsOne(t *testing.T) {
+// TestConcurrentCrashesCountAsOne runs the same request at six upstreams that terminate at the
+// same time. No run started after another one had crashed, so they count as one crash.
+func TestConcurrentCrashesCountAsOne(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
 	for range 4 {
@@ -105,8 +105,8 @@
 	is.True(!f.daemons[2].HasSuspects())
 }
 
-// TestAnswerClears has one daemon get a response to a suspect after two crashes.
-func TestAnswerClears(t *testing.T) {
+// TestAnswerClearsSuspect has one daemon get a response to a suspect after two crashes.
+func TestAnswerClearsSuspect(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
 	for range 2 {
@@ -126,9 +126,9 @@
 	is.Equal(f.daemons[0].RecordCrash(before).Crashes, uint32(1))
 }
 
-// TestQuarantineIsTriedByOne lets the quarantine period pass. One daemon lets the request
-// through once, and its crash makes the period four times as long for all.
-func TestQuarantineIsTriedByOne(t *testing.T) {
+// TestOneDaemonRunsTrial lets the quarantine period pass. One daemon lets the request through
+// once, and its crash makes the period four times as long for all.
+func TestOneDaemonRunsTrial(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
 	for n, d := range f.daemons {
@@ -197,7 +197,8 @@
 	is.Equal(d.Check(fingerprintOf(9999), quarantiner.Observation{}).Crashes, uint32(1))
 }
 
-// TestSuspectsExpire lets time pass without another crash.
+// TestSuspectsExpire lets time pass without another crash: a suspect expires after five
+// minutes, a quarantined request after six hours.
 func TestSuspectsExpire(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
@@ -216,9 +217,9 @@
 	is.Equal(d.Digest(), uint64(0))
 }
 
-// BenchmarkLook measures a request beside a few suspects. Without suspects, only HasSuspects
-// is called.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkCheck measures Check for a suspect while there are a few others. Without suspects,
+// callers call only HasSuspects.
+func BenchmarkCheck(b *testing.B) {
 	f := newFleet(1)
 	for n := range 5 {
 		f.daemons[0].crash(fingerprintOf(n))
@@ -228,7 +229,7 @@
 	}
 }
 
-// BenchmarkFingerprint measures a request with a body of 4 KB.
+// BenchmarkFingerprint measures the fingerprint of a request with a body of 4 KB.
 func BenchmarkFingerprint(b *testing.B) {
 	body := make([]byte, 4<<10)
 	for b.Loop() {
@@ -236,9 +237,9 @@
 	}
 }
 
-// TestTurn checks that exactly one of several daemons has a turn at any time, and that all get
-// the same number of turns.
-func TestTurn(t *testing.T) {
+// TestOneDaemonHasTurnAtATime checks that exactly one of several daemons has a turn at any
+// time, and that all get the same number of turns.
+func TestOneDaemonHasTurnAtATime(t *testing.T) {
 	is := is.New(t)
 	all := []string{"a", "b", "c", "d"}
 	turns := map[string]int{}
