--- a/internal/request/assigner/demand.go
+++ b/internal/request/assigner/demand.go
@@ -46,9 +46,8 @@
 // localShare returns the fraction of a route's keys that stays in the region of the callers,
 // where own is the fraction of all work that may stay there. Routes with the tightest
 // objectives come first, because a round trip between regions takes the largest part of
-// theirs. With 2 of 16 and 2 of 12 upstreams in a region with a third of the callers, and
-// 70 ms to the next region, the tightest route (250 ms) got 0.703 of its value instead of
-// 0.651, and all routes together +0.0070 ± 0.0017 (24 paired days with faults and load).
+// theirs. In a region with too few upstreams for its callers, this order raises the value of
+// the responses of the tightest route and of all routes together.
 func (d demands) localShare(route string, own float64) float64 {
 	order := slices.Clone(d)
 	slices.SortFunc(order, func(a, b routeDemand) int {
--- a/internal/request/assigner/former.go
+++ b/internal/request/assigner/former.go
@@ -12,10 +12,9 @@
 // run at. An upstream caches a few dozen keys, several times the number it is home to, so a
 // key that must leave its home mostly finds an upstream that still knows it among its last
 // three. As in Hint-K (k-step hints for multi-level caches), a short history of moves predicts
-// better than the latest one alone. Without it, a key that left went to the least loaded
-// upstream, for three times the work: +0.0025 ± 0.0009 of the value of all requests, in 24
-// paired days with faults and load. An age limit on the entries makes no difference: limits of
-// 8 s, 30 s and none gave +0.0020, +0.0022 and +0.0029, ± 0.0012, in 36 days.
+// better than the latest one alone. Without a history, a key that must leave goes to the least
+// loaded upstream, for three times the work. The entries have no age limit, since one made no
+// difference.
 const MaxFormerHomes = 3
 
 // formerHomes are hashes of upstreams, the latest first; 0 marks an unused element.
--- a/internal/request/forwarder/route.go
+++ b/internal/request/forwarder/route.go
@@ -124,10 +124,11 @@
 	return !t.started && (t.call.Body == nil || !t.admitted)
 }
 
-// reachedUpstream reports whether an attempt cost an upstream anything, and so counts against
-// the retry budget, which protects upstreams. While upstreams pass from one owner to another,
-// requests reach daemons that no longer own them, or not yet. When those attempts counted as
-// well, 27 to 64 of 100 concurrent requests were refused.
+// reachedUpstream reports whether an attempt may have put load on an upstream, and so counts
+// against the retry budget, which protects upstreams. While upstreams pass from one owner to
+// another, requests reach daemons that no longer own them, or not yet. If those attempts
+// counted as well, they would use up the budget, and many concurrent requests would be
+// refused.
 func reachedUpstream(r exchanger.Result) bool {
 	switch r.Reason {
 	case exchanger.ReasonNotOwner, exchanger.ReasonLinkUnreachable, exchanger.ReasonStopping, exchanger.ReasonNoEntry:
