--- a/internal/request/quarantiner/doc.go
+++ b/internal/request/quarantiner/doc.go
@@ -9,6 +9,7 @@
 // refused for a period that grows with each further crash, after which one daemon lets it
 // through once as a trial.
 //
-// What is known of a request is a pair of counters of which the larger wins, so daemons may
-// exchange it in any order and any number of times.
+// What is known of a request is a pair of counters: how often it was cleared, and its crashes
+// since. Of two pairs, the one with more clearings wins and, if these are equal, the one with
+// more crashes, so daemons may exchange them in any order and any number of times.
 package quarantiner
--- a/internal/request/quarantiner/list.go
+++ b/internal/request/quarantiner/list.go
@@ -30,7 +30,7 @@
 		// Crashes counts consecutive runs that terminated their upstreams.
 		Crashes     uint32
 		Quarantined bool
-		// AgeMillis is the time since the last of them was observed.
+		// AgeMillis is the time since the last of these crashes was observed.
 		AgeMillis timekeeper.Millis
 		// LeftMillis is the remaining time in quarantine.
 		LeftMillis timekeeper.Millis `json:",omitempty"`
--- a/internal/request/quarantiner/quarantiner.go
+++ b/internal/request/quarantiner/quarantiner.go
@@ -16,7 +16,8 @@
 	MaxSuspects = 1000
 
 	// TrialInterval is how long a daemon that lets a request through waits for the outcome
-	// before it allows another trial. It is also the Retry-After time of callers meanwhile.
+	// before it allows another trial. Callers refused meanwhile get it as their Retry-After
+	// time.
 	TrialInterval = 20 * timekeeper.Second
 )
 
--- a/internal/request/quarantiner/suspect.go
+++ b/internal/request/quarantiner/suspect.go
@@ -7,7 +7,7 @@
 
 const (
 	// isolationCrashes is the number of consecutive crashes from which a request is isolated.
-	// At the first crash the request is usually innocent and is served best by a retry.
+	// At the first crash the request is usually innocent, and a retry is likely to succeed.
 	isolationCrashes = 2
 
 	// quarantineCrashes is the number of consecutive crashes at which a request is
@@ -48,8 +48,8 @@
 	return s.Crashes >= quarantineCrashes
 }
 
-// Isolated reports whether the request must be isolated: it is retried only if its caller
-// sends it again.
+// Isolated reports whether the request must be isolated: once it may have run, it is not
+// retried, and only its caller may send it again.
 func (s Suspect) Isolated() bool {
 	return s.Crashes >= isolationCrashes
 }
