--- a/internal/request/limiter/allocator.go
+++ b/internal/request/limiter/allocator.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// prefetchTime is how much demand, as a time, a region borrows and a daemon acquires in
-	// advance.
+	// prefetchTime is the time for whose expected demand a region borrows, or a daemon
+	// acquires, tokens in advance.
 	prefetchTime = 250 * timekeeper.Millis(1)
 
-	// refillThreshold is the demand, as a time, that is left when a region borrows or
-	// a daemon acquires more.
+	// refillThreshold is the time for whose expected demand tokens must be left. Below that, a
+	// region borrows, or a daemon acquires, more.
 	refillThreshold = 150 * timekeeper.Millis(1)
 
-	// lendReserve is the own demand, as a time, that a region keeps when it lends.
+	// lendReserve is the time for whose expected demand of its own a region keeps tokens when
+	// it lends.
 	lendReserve = 300 * timekeeper.Millis(1)
 
 	// borrowTimeout is how long to wait for responses of other regions: more than a round trip
@@ -44,7 +45,8 @@
 		borrowing borrowing
 		// lastRetryAt is the latest retry time given to a refused request.
 		lastRetryAt float64
-		// borrowBlockedUntil is the time until which the other regions are not asked.
+		// borrowBlockedUntil is the time until which the other regions are not asked for
+		// tokens.
 		borrowBlockedUntil timekeeper.Millis
 		usedAt             timekeeper.Millis
 	}
@@ -81,8 +83,8 @@
 	}
 }
 
-// account returns the region's account of an organisation. On a new allocator, it fills from
-// the time at which the daemon became one.
+// account returns the region's account of an organisation. The bucket of a new account is
+// refilled from the time at which the daemon became the allocator.
 func (c *Core) account(o *authenticator.Organisation, now timekeeper.Millis) *account {
 	a := c.accounts[o.Hash()]
 	if a == nil {
--- a/internal/request/limiter/bucket.go
+++ b/internal/request/limiter/bucket.go
@@ -19,7 +19,7 @@
 
 type (
 	// bucketParams are the refill rate in tokens a second, the capacity in tokens, and how
-	// long an issued token counts as held.
+	// long a token that is issued in advance may still be used.
 	bucketParams struct {
 		rate     float64
 		capacity float64
@@ -66,7 +66,8 @@
 	}
 }
 
-// issue takes at most n whole tokens. Those beyond need are not used at once.
+// issue takes at most n whole tokens and returns how many. Those beyond need are issued in
+// advance and stay in the issue history for their lifetime.
 func (b *bucket) issue(now timekeeper.Millis, n, need int, t bucketParams) int {
 	n = min(n, b.available())
 	b.level -= float64(n)
--- a/internal/request/limiter/cache.go
+++ b/internal/request/limiter/cache.go
@@ -11,20 +11,21 @@
 	// one. It exceeds the time for which an allocator waits for other regions.
 	AllocatorTimeout = 160 * timekeeper.Millis(1)
 
-	// localDenialTime is the maximum time for which a daemon refuses requests by itself after
-	// its allocator had no token. It asks again once in that time for all of them.
+	// localDenialTime is the maximum time for which a daemon refuses requests without asking
+	// its allocator after the allocator had no token left. The first request afterwards asks
+	// again.
 	localDenialTime = 200 * timekeeper.Millis(1)
 
-	// unknownRetryAfter is the retry delay, to another daemon if possible, for callers whose
-	// organisation's use is not known here.
+	// unknownRetryAfter is the retry delay for callers while the use of their organisation's
+	// limit is not known here. They should retry at another daemon if possible.
 	unknownRetryAfter = 250 * timekeeper.Millis(1)
 
-	// ownShareDelay is how long a daemon waits before it uses its own share: the allocators
-	// hand it out until they have noticed the daemon's absence.
+	// ownShareDelay is how long a daemon that reaches no allocator waits before it uses its
+	// own share: the allocators give that share to others until they have noticed its absence.
 	ownShareDelay = 1600 * timekeeper.Millis(1)
 
 	// ownShareReset is how long a daemon keeps the buckets of its own share after their last
-	// use, also if it hears from an allocator in between.
+	// use, also if an allocator responds in between.
 	ownShareReset = 5 * timekeeper.Second
 )
 
@@ -46,7 +47,7 @@
 	lastRetryAt timekeeper.Millis
 	gap         timekeeper.Millis
 
-	// ownShare is the bucket used while no allocator is heard, and ownShareFrom is when the
+	// ownShare is the bucket used while no allocator responds, and ownShareFrom is when the
 	// daemon may begin to use its own share.
 	ownShare     bucket
 	ownShareFrom timekeeper.Millis
--- a/internal/request/limiter/limiter.go
+++ b/internal/request/limiter/limiter.go
@@ -10,11 +10,12 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// startPollInterval is how often the fleet is polled while this daemon has just started and
-// hears no other one. Requests wait meanwhile.
+// startPollInterval is how often the view of the fleet is updated while this daemon is
+// starting. Requests wait meanwhile.
 const startPollInterval = 50 * time.Millisecond
 
-// viewInterval is how often the view of the fleet is updated: half a heartbeat.
+// viewInterval is how often the view of the fleet is updated afterwards: half the interval of
+// heartbeats.
 const viewInterval = 250 * time.Millisecond
 
 // Limiter enforces the limits at one daemon. Use New to create one.
@@ -51,7 +52,7 @@
 	timekeeper.Every(ctx, viewInterval, l.Observe)
 }
 
-// starting reports whether the daemon has just started and may still hear others.
+// starting reports whether the daemon has just started and does not know the fleet yet.
 func (l *Limiter) starting() bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/request/limiter/tolerance.go
+++ b/internal/request/limiter/tolerance.go
@@ -16,9 +16,9 @@
 	// daemons.
 	bucketShare = 0.4
 
-	// headroomFactor is how many times its rate an organisation may have in tokens that are
-	// issued in advance and not expired: one region may have to carry all of it with its
-	// share.
+	// headroomFactor determines the lifetime of tokens: the capacity of all buckets covers the
+	// tokens that are issued within one lifetime at this multiple of the organisation's rate.
+	// A single region, with its share of the capacity, may have to serve all of its requests.
 	headroomFactor = 2.5
 
 	minLifetime = 100 * timekeeper.Millis(1)
--- a/internal/request/limiter/verdict.go
+++ b/internal/request/limiter/verdict.go
@@ -12,7 +12,7 @@
 	Admitted
 	// OverLimit means that the request exceeds the limit of its organisation.
 	OverLimit
-	// Unknown means that no allocator is heard and this daemon's own share is used up.
+	// Unknown means that no allocator responds and this daemon's own share is used up.
 	Unknown
 )
 
@@ -40,7 +40,8 @@
 	// FleetView is a daemon's view of the fleet members that share the limits.
 	FleetView struct {
 		// Known is the number of fleet members that may send requests, including this one.
-		// Reachable is the number of those in its region that it hears, also including it.
+		// Reachable is the number of those in its region that are known to be alive, also
+		// including this one.
 		Known     int
 		Reachable int
 		// IsAllocator reports that this member is the limit allocator of its region. Otherwise
@@ -51,10 +52,10 @@
 		// borrows from them, and a daemon acquires from them when its region's allocator is
 		// silent.
 		Others []string
-		// Isolated reports that the member knows others but hears none.
+		// Isolated reports that the member knows others, none of which is known to be alive.
 		Isolated bool
-		// Starting reports that the member is alone because it has just started, and may still
-		// hear others.
+		// Starting reports that the member has just started and does not know yet whether
+		// other members in its region are alive.
 		Starting bool
 		// SingleDaemon reports that there are no other daemons by design: buckets begin full.
 		SingleDaemon bool
@@ -76,7 +77,7 @@
 	return float64(v.Reachable) / float64(max(v.Known, v.Reachable, 1))
 }
 
-// ownShare returns the share of a daemon that hears no allocator.
+// ownShare returns the share of a daemon that reaches no allocator.
 func (v FleetView) ownShare() float64 {
 	return 1 / float64(max(v.Known, 1))
 }
