--- a/internal/request/forwarder/budget.go
+++ b/internal/request/forwarder/budget.go
@@ -7,7 +7,7 @@
 )
 
 // initialTokens is how many retries a service may have before any request has earned one, so
-// that a quiet service is not refused its first retry. It is also the maximum.
+// that a service with few requests is not refused its first retry. It is also the maximum.
 const initialTokens = 10
 
 type (
--- a/internal/request/forwarder/detour.go
+++ b/internal/request/forwarder/detour.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// A site that served nothing is backed off for initialBackOff. The delay doubles each time
-	// that a request sent to test the site fails, up to maxBackOff.
+	// A site that does not serve a service is backed off for initialBackOff. The delay doubles
+	// each time that a request sent to test the site fails, up to maxBackOff.
 	initialBackOff = 250 * timekeeper.Millis(1)
 	maxBackOff     = 4 * timekeeper.Second
 
@@ -27,9 +27,10 @@
 )
 
 type (
-	// siteBackOffs tracks the sites that serve nothing of a service. Every entry detects that
-	// by itself, with an occasional request, and depends on neither the planner nor the
-	// platform for it. The zero value is ready to use.
+	// siteBackOffs tracks the sites at which no daemon serves a service. Each entry detects
+	// them from the results of its own requests, without the planner or the platform, and
+	// sends an occasional request to test whether they serve it again. The zero value is ready
+	// to use.
 	siteBackOffs struct {
 		lock  sync.Mutex
 		sites map[pooler.Key]siteBackOff
@@ -60,16 +61,17 @@
 	return false
 }
 
-// exists reports whether a site served nothing at its last attempt.
-func (d *siteBackOffs) exists(k pooler.Key) bool {
+// servedNothing reports whether, by the last known result, no daemon of a site serves the
+// service.
+func (d *siteBackOffs) servedNothing(k pooler.Key) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	_, ok := d.sites[k]
 	return ok
 }
 
-// record records whether a site served a request, and reports whether that changed what is
-// known of the site.
+// record records whether a site served a request, and reports whether that differs from the
+// last known result. A site without a result counts as serving.
 func (d *siteBackOffs) record(k pooler.Key, now timekeeper.Millis, served bool) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -169,7 +171,7 @@
 		set := s.Settings.At(site, c.Service)
 		weight := float64(set.Capacity()) * set.Limit
 		k := pooler.Key{Site: site, Service: c.Service}
-		if site == c.Site || weight == 0 || set.DrainedAt(wall) || f.siteBackOffs.exists(k) {
+		if site == c.Site || weight == 0 || set.DrainedAt(wall) || f.siteBackOffs.servedNothing(k) {
 			continue
 		}
 		o := option{site: site, order: math.Pow(rand.Float64(), 1/weight)}
--- a/internal/request/forwarder/header.go
+++ b/internal/request/forwarder/header.go
@@ -9,7 +9,7 @@
 
 // Header fields between callers and entries.
 const (
-	// HeaderService names the service. Without it the Host header does.
+	// HeaderService names the service. If it is absent, the Host header selects the service.
 	HeaderService = "Gullvale-Service"
 	// HeaderBlock is an address in the caller's client block. The default is the address of
 	// the connection.
@@ -55,14 +55,13 @@
 		h["X-Forwarded-For"] = []string{strings.Join(append(h["X-Forwarded-For"], host), ", ")}
 	}
 	if _, ok := h["User-Agent"]; !ok {
-		// Nil keeps the transport from adding its own.
+		// Nil keeps the transport from adding a User-Agent of its own.
 		h["User-Agent"] = nil
 	}
 	return h
 }
 
-// RemoveHop deletes the fields of one connection, those that the Connection
-// field names included.
+// RemoveHop deletes the hop-by-hop fields, including those that the Connection field names.
 func RemoveHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for _, n := range strings.Split(line, ",") {
--- a/internal/request/forwarder/keyed.go
+++ b/internal/request/forwarder/keyed.go
@@ -177,8 +177,7 @@
 // runNewKey runs a call whose key was registered for it. The run continues when the caller
 // leaves, so that a retry finds the outcome.
 func (f *Forwarder) runNewKey(ctx context.Context, c *exchanger.Call, s *resolver.Service, key keykeeper.Key, r *keykeeper.Record) exchanger.Result {
-	// From here on the call has no key: a daemon that relays it is not asked as the key's
-	// home.
+	// Without a key, a daemon that relays the call does not take itself for the key's home.
 	c.Key, c.Held = "", false
 	var rec keykeeper.Recorder
 	rec.Attach(c)
@@ -253,7 +252,7 @@
 		http.Redirect(w, r, "http://"+h.Callers+r.URL.RequestURI(), http.StatusTemporaryRedirect)
 		return
 	default:
-		f.lookUp(&o, key)
+		f.fillOutcome(&o, key)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(o)
@@ -272,7 +271,7 @@
 	return exchanger.Refused(exchanger.ReasonKeyUnknown, 0)
 }
 
-func (f *Forwarder) lookUp(o *OutcomeResponse, key keykeeper.Key) {
+func (f *Forwarder) fillOutcome(o *OutcomeResponse, key keykeeper.Key) {
 	state, result := f.Keys.Lookup(key)
 	switch state {
 	case keykeeper.Running:
--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -47,7 +47,7 @@
 	return n
 }
 
-// Close tells the source of the body that it is no longer read.
+// Close closes the source of the body if it can be closed.
 func (b *prefixReader) Close() error {
 	if c, ok := b.body.(io.Closer); ok {
 		return c.Close()
@@ -125,8 +125,8 @@
 	return exchanger.Refused(exchanger.ReasonQuarantined, t.observation.After), t.observation.Refused
 }
 
-// updateSuspect records what the result of an attempt says about its call: that it crashed the
-// upstream, or that it is innocent.
+// updateSuspect records a crash if the upstream terminated while it ran the call, and clears
+// the call after a complete response other than a server error.
 func (f *Forwarder) updateSuspect(t *attempts, r exchanger.Result) {
 	if f.Quarantine == nil {
 		return
