--- a/internal/request/assigner/assigner.go
+++ b/internal/request/assigner/assigner.go
@@ -25,11 +25,11 @@
 	idleExpiry = 5 * timekeeper.Minute
 
 	// movesPerSecond is the maximum rate at which one daemon moves keys from crowded
-	// upstreams. A moved key costs one run without a cache entry.
+	// upstreams. Each move costs one uncached run at the new home.
 	movesPerSecond = 3.0
 
-	// reliefInterval is the minimum time between searches for a key to move, so that most
-	// requests don't pay for one.
+	// reliefInterval is the minimum time between searches for a less loaded upstream. A search
+	// takes time proportional to the number of upstreams, so most requests skip it.
 	reliefInterval = 50 * timekeeper.Millis(1)
 
 	// crowdedRatio is how many times the load of the least loaded candidate a home must have
@@ -78,8 +78,8 @@
 		usedAt timekeeper.Millis
 		// formerHomes lists the upstreams other than the home that ran the key recently.
 		formerHomes formerHomes
-		// lastSeen is the latest home that a request of this daemon used, reported when the
-		// key moves.
+		// lastSeen is the latest home that a request of this daemon used. When the key moves
+		// from there, it is reported as the home that the key left.
 		lastSeen *cataloger.Upstream
 	}
 )
@@ -135,7 +135,7 @@
 }
 
 // Move changes the home of a key whose home is full. It returns the zero Placement if the key
-// stays.
+// stays, for example because the rate of moves is used up.
 func (a *Assigner) Move(key hasher.Hash, to *cataloger.Upstream) Placement {
 	if a.Without.Has(switcher.Moves) {
 		return Placement{}
--- a/internal/request/dispatcher/answer.go
+++ b/internal/request/dispatcher/answer.go
@@ -70,7 +70,8 @@
 	return x.route.Kind.Retryable() && len(x.attempted) < x.route.Attempts && x.expiresAt-x.d.Clock.Now() > minAttemptTime && x.d.Retries.Available(x.service)
 }
 
-// discardResponse handles a response that must not be forwarded.
+// discardResponse handles a response that must not be forwarded: the request may have run, and
+// the response counts as lost unless the caller has left. It always returns false.
 func (x *exchange) discardResponse(t *tracker.Upstream, reason string) bool {
 	x.markMayHaveRun()
 	if x.r.Context().Err() != nil {
@@ -152,7 +153,8 @@
 	x.setCloseIfStopping()
 }
 
-// setCloseIfStopping tells the caller to reconnect elsewhere if this process is stopping.
+// setCloseIfStopping asks the caller to close the connection if this process is stopping, so
+// that its next request can go to another entry.
 func (x *exchange) setCloseIfStopping() {
 	if x.d.stopsAt() > 0 {
 		x.w.Header().Set("Connection", "close")
@@ -174,7 +176,7 @@
 }
 
 // deny refuses what the configuration in force does not allow. While a change is known but not
-// read, the new configuration may allow it, so the caller is told to retry instead of getting
+// read, the new configuration may allow it, so the response is a retryable refusal instead of
 // a permanent error.
 func (x *exchange) deny(status int, reason string) {
 	if x.d.configLag() > 0 {
--- a/internal/request/dispatcher/choose.go
+++ b/internal/request/dispatcher/choose.go
@@ -26,7 +26,7 @@
 	var space [maxCandidates]*cataloger.Upstream
 	list := space[:0]
 	if x.hasHome() {
-		x.bindKey(all)
+		x.selectHomeKey(all)
 		home := x.home(all)
 		if home == nil {
 			return nil, placer.Gone
@@ -64,7 +64,7 @@
 			}
 			return list[i], placer.Accepts
 		case i >= 0:
-			// Another request has taken the last warm-up room in the meantime.
+			// Another request took the last warm-up room after the states were read.
 			states[i].Cold = true
 			continue
 		case len(list) > 0:
@@ -97,15 +97,17 @@
 	x.decision.Load, x.decision.Own = s.Reported, s.Own
 }
 
-// acquireWarmupRoom takes warm-up room for the request if the upstream is cold. It is called
-// only for the upstream that the request is sent to: requests that merely consider a cold
-// upstream must not use up its room.
+// acquireWarmupRoom takes warm-up room for the request if the upstream is cold, and reports
+// false if none is left. It is called only for the upstream that the request is sent to:
+// requests that merely consider a cold upstream must not use up its room.
 func (x *exchange) acquireWarmupRoom(u *cataloger.Upstream) bool {
 	return !u.Cold(x.d.Clock.Now()) || x.d.AcquireWarmupRoom != nil && x.d.AcquireWarmupRoom(u, x.d.Upstreams.StateOf(u))
 }
 
-// pickCandidate chooses among the candidates and moves the key if that is the choice. The rate
-// at which keys move is limited.
+// pickCandidate returns the index of the chosen candidate, or -1 if there is none. If the
+// key's home is full, the key moves to the chosen upstream. If it cannot move, for example
+// because the rate of moves is used up, the request is refused or, with waiting switched off,
+// runs there without a move.
 func (x *exchange) pickCandidate(list []*cataloger.Upstream, states []placer.State) (int, placer.Verdict) {
 	if !x.hasHome() {
 		return x.d.placer().Choose(states, x.hasTopRank())
--- a/internal/request/dispatcher/dispatcher.go
+++ b/internal/request/dispatcher/dispatcher.go
@@ -168,7 +168,8 @@
 
 // MayOverlap reports whether a request may be handled concurrently with others of its
 // connection. Only retryable requests may: if a response breaks off, the caller sends the
-// unanswered requests behind it again. A request without a route waits its turn.
+// unanswered requests behind it again. A request without a route is handled after the requests
+// before it.
 func (d *Dispatcher) MayOverlap(r *http.Request) bool {
 	c := d.Config()
 	if c == nil || d.Without.Has(switcher.PipelinedRequests) {
--- a/internal/request/dispatcher/identify.go
+++ b/internal/request/dispatcher/identify.go
@@ -75,10 +75,12 @@
 	return x.route.Rank <= x.config.MostUrgentRank(x.service)
 }
 
-// bindKey uses a separate home for the request's key, shared by organisations that are bound
-// to the same regions, if the common home lies where this organisation must not go. Otherwise
-// the common home would move back and forth between their requests.
-func (x *exchange) bindKey(all []*cataloger.Upstream) {
+// selectHomeKey sets the key by which the request is placed. It is the key that all
+// organisations share, unless the organisation is restricted to some regions and the home of
+// that key is in a region where the request may not run: then it is one that only
+// organisations with the same regions share. A common home would move back and forth between
+// their requests.
+func (x *exchange) selectHomeKey(all []*cataloger.Upstream) {
 	x.key = x.sharedKey
 	if b := x.organisation.RegionsHash(); b != 0 && x.d.Homes.HomeNotAllowed(x.key, all, x.allowsRegion) {
 		x.key = hasher.Mix(x.key, b)
--- a/internal/request/dispatcher/loss.go
+++ b/internal/request/dispatcher/loss.go
@@ -51,8 +51,9 @@
 )
 
 // checkLoss dials u to find out whether it has terminated after the request failed with err.
-// Upstreams also reset connections, close idle ones and lose responses. With wait, checkLoss
-// returns after the result is known; otherwise it checks in the background.
+// The lost connection alone does not prove it: running upstreams also reset connections, close
+// idle ones and lose responses. With wait, checkLoss returns after the result is known;
+// otherwise it dials in the background.
 func (x *exchange) checkLoss(u *cataloger.Upstream, t *tracker.Upstream, err error, wait bool) {
 	if x.r.Context().Err() != nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		return // the caller left or the deadline passed
@@ -64,14 +65,14 @@
 	l.observation = x.observation
 	x.decision.Suspect = l.Suspect
 	if !wait {
-		go x.d.runCheck(l, t)
+		go x.d.probeAndReportLoss(l, t)
 		return
 	}
-	x.d.runCheck(l, t)
+	x.d.probeAndReportLoss(l, t)
 	x.decision.Suspect = l.Suspect
 }
 
-func (d *Dispatcher) runCheck(l *Loss, t *tracker.Upstream) {
+func (d *Dispatcher) probeAndReportLoss(l *Loss, t *tracker.Upstream) {
 	l.UpstreamState = d.probeUpstream(&l.Upstream, t)
 	if l.UpstreamState == Terminated && d.Quarantine != nil {
 		l.Suspect = d.Quarantine.RecordCrash(l.observation)
--- a/internal/request/placer/place.go
+++ b/internal/request/placer/place.go
@@ -20,12 +20,13 @@
 	// failShareRatio is the maximum failure share of another upstream, relative to that of the
 	// first choice, for it to replace a failing first choice. When all upstreams of a service
 	// refuse half of their requests, their shares differ only by chance, and a key that leaves
-	// for another upstream is slower there.
+	// for another upstream is slower there. It is also the error share, relative to the
+	// failure share, below which an upstream counts as one that mostly refuses.
 	failShareRatio = 0.5
 
 	// maxKnownFailShare is the failure share from which an upstream that knows the request's
 	// key is passed over even if it only refuses: above it, a late response of another
-	// upstream is worth more.
+	// upstream is worth more than the small chance that this one accepts the request.
 	maxKnownFailShare = 0.7
 
 	// idleFactor is the number of requests, as a multiple of its slots, below which an
