--- a/internal/request/dispatcher/dispatcher_test.go
+++ b/internal/request/dispatcher/dispatcher_test.go
@@ -167,7 +167,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			s := newHarness(t, tt.kind)
-			// The upstream that is asked first behaves as the test says.
+			// The first attempt is served by tt.first, whichever upstream it reaches.
 			serve := firstOf(tt.first, succeeds)
 			s.add(t, "u1", serve)
 			s.add(t, "u2", serve)
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -29,8 +29,8 @@
 	// Forwarder forwards the requests of one daemon. The exported fields must be set before
 	// use.
 	Forwarder struct {
-		// Base lives as long as the process. Links that are opened for a request outlive it
-		// and use this context.
+		// Base is done when the process stops. Links that are opened for a request use it,
+		// since they outlive the request.
 		Base     context.Context
 		Clock    timekeeper.Clock
 		Self     func() registrar.Member
--- a/internal/request/forwarder/route.go
+++ b/internal/request/forwarder/route.go
@@ -170,8 +170,8 @@
 	return r
 }
 
-// recordAttempt records that a daemon was asked. If its upstream could not be dialled, the
-// daemon may be asked again: it has taken that upstream out of use.
+// recordAttempt records that a daemon was asked to run the call. If its upstream could not be
+// dialled, the daemon may be asked again: it has taken that upstream out of use.
 func (t *attempts) recordAttempt(i registrar.Incarnation, r exchanger.Result) {
 	t.attempted[i] = r.Reason != exchanger.ReasonUpstreamUnreachable
 }
--- a/internal/request/limiter/doc.go
+++ b/internal/request/limiter/doc.go
@@ -7,9 +7,9 @@
 // acquires tokens from its allocator: one with each request of an organisation that it rarely
 // sees, several in advance for one that it sees often. A region that runs short borrows tokens
 // from the others, so the limit follows callers who move. A new allocator begins with a share
-// of the limit's tolerance. A daemon whose allocator is silent acquires tokens from those of
-// other regions, and one that reaches no allocator uses its own share, once the others have
-// noticed its absence.
+// of the limit's tolerance. A daemon whose allocator does not respond acquires tokens from
+// those of other regions, and one that reaches no allocator uses its own share, once the
+// others have noticed its absence.
 //
 // Unused tokens expire. Tokens handed out within their lifetime count as if they were still in
 // the bucket, so that in no window more requests are sent than the rate, the burst and a share
--- a/internal/request/limiter/verdict.go
+++ b/internal/request/limiter/verdict.go
@@ -49,8 +49,8 @@
 		IsAllocator bool
 		Allocator   string
 		// Others are the addresses of the allocators of the other regions. An allocator
-		// borrows from them, and a daemon acquires from them when its region's allocator is
-		// silent.
+		// borrows from them, and a daemon acquires from them when its region's allocator does
+		// not respond.
 		Others []string
 		// Isolated reports that the member knows others, none of which is known to be alive.
 		Isolated bool
