--- a/internal/process/claimer/claimer_test.go
+++ b/internal/process/claimer/claimer_test.go
@@ -73,10 +73,10 @@
 	}
 }
 
-// TestHandOverKeepsSlots marks daemons as leaving and not leaving under load, and delivers
+// TestTransferNeverExceedsUpstreamSlots marks daemons as leaving and not leaving under load, and delivers
 // each change to the daemons at different times. No upstream may ever receive more requests
 // at once than it has slots, and in the end each must have exactly one owner.
-func TestHandOverKeepsSlots(t *testing.T) {
+func TestTransferNeverExceedsUpstreamSlots(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -125,11 +125,11 @@
 		leaving[n] = !leaving[n]
 		deliver()
 		before := answered.Load()
-		waitFor(t, "requests go on", func() bool { return answered.Load() > before+20 })
+		waitFor(t, "more requests are answered", func() bool { return answered.Load() > before+20 })
 	}
 	clear(leaving)
 	deliver()
-	waitFor(t, "all slots are owned once", func() bool { return ownedSlots(all) == slots*servers })
+	waitFor(t, "each slot has exactly one owner", func() bool { return ownedSlots(all) == slots*servers })
 	cancel()
 	load.Wait()
 	for _, u := range upstreams {
@@ -203,7 +203,7 @@
 	end := time.Now().Add(time.Minute)
 	for !done() {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/process/commander/lost_test.go
+++ b/internal/process/commander/change_test.go
@@ -14,10 +14,10 @@
 	"github.com/gullvale/gullvale/pkg/recorder"
 )
 
-// TestRefusalElsewhereLeavesDoubt guards against a change that is reported as refused
+// TestRefusalAfterLostResponseLeavesOutcomeUnknown guards against a change that is reported as refused
 // although the first daemon made it and its response was lost. The operator would then
 // request it again.
-func TestRefusalElsewhereLeavesDoubt(t *testing.T) {
+func TestRefusalAfterLostResponseLeavesOutcomeUnknown(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		status   int
--- a/internal/process/commander/upload_test.go
+++ b/internal/process/commander/upload_test.go
@@ -15,9 +15,9 @@
 	"github.com/gullvale/gullvale/internal/process/commander"
 )
 
-// TestLargeTableOverANarrowLink guards against a timeout on the whole call: an upload that
+// TestUploadMayExceedResponseTimeout guards against a timeout on the whole call: an upload that
 // takes longer than the time to respond would then always fail after 5 s.
-func TestLargeTableOverANarrowLink(t *testing.T) {
+func TestUploadMayExceedResponseTimeout(t *testing.T) {
 	is := is.New(t)
 	const (
 		length = 10 << 20
--- a/internal/process/director/choose_test.go
+++ b/internal/process/director/choose_test.go
@@ -15,7 +15,7 @@
 	return heartbeater.Member{Name: name, Front: name, Site: registrar.Site(site), Strength: strength, Ready: ready}
 }
 
-func TestNearestReady(t *testing.T) {
+func TestChoosePrefersReadyEntriesInRegion(t *testing.T) {
 	is := is.New(t)
 	all := []heartbeater.Member{
 		member("a", "east/a", 320, true), member("b", "east/b", 320, false), member("c", "east/b", 320, true),
@@ -34,7 +34,7 @@
 
 // With two strong VMs and nine of a twentieth of their strength, the strong ones must get
 // most callers, and every caller at least three entries.
-func TestStrongEntriesGetMore(t *testing.T) {
+func TestStrongEntriesGetMoreCallers(t *testing.T) {
 	is := is.New(t)
 	var all []heartbeater.Member
 	for i := range 11 {
@@ -62,7 +62,7 @@
 	is.True(weak > 100)
 }
 
-func TestEqualEntriesAreAllNamed(t *testing.T) {
+func TestChooseReturnsMaxEntriesOfEqualStrength(t *testing.T) {
 	is := is.New(t)
 	var all []heartbeater.Member
 	for i := range 100 {
--- a/internal/process/fronter/bounds_test.go
+++ b/internal/process/fronter/bounds_test.go
@@ -9,9 +9,9 @@
 	"github.com/gullvale/gullvale/internal/process/fronter"
 )
 
-// TestColdPart checks the warm-up rate of a sender: three senders with a burst of one
+// TestWarmupRateOfOneSender checks the warm-up rate of a sender: three senders with a burst of one
 // request each stay within the bound, and use the upstream's rate where the bound is wide.
-func TestColdPart(t *testing.T) {
+func TestWarmupRateOfOneSender(t *testing.T) {
 	for _, c := range []struct{ perSecond, over, slack, want float64 }{
 		{7.2, 1.5, 5, 3.24},
 		{2.5, 1.5, 5, 1.125},
--- a/internal/process/fronter/without_test.go
+++ b/internal/process/fronter/disabled_test.go
@@ -63,7 +63,7 @@
 	return !f.Ready()
 }
 
-func TestSwitchedOff(t *testing.T) {
+func TestDisabledMechanismIsInactive(t *testing.T) {
 	tests := []struct {
 		mechanism switcher.Mechanism
 		isActive  func(*fronter.Fronter) bool
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestWhatIsOffIsTold checks that a log line and a metric name the disabled mechanisms, and
+// TestDisabledMechanismsAreReported checks that a log line and a metric name the disabled mechanisms, and
 // that there is neither if all are enabled.
-func TestWhatIsOffIsTold(t *testing.T) {
+func TestDisabledMechanismsAreReported(t *testing.T) {
 	for _, s := range []switcher.Set{0, switcher.Of(switcher.Homes, switcher.Rank)} {
 		t.Run(s.String(), func(t *testing.T) {
 			is := is.New(t)
--- a/internal/process/fronter/start_test.go
+++ b/internal/process/fronter/start_test.go
@@ -44,9 +44,9 @@
 	return p.StatusCode
 }
 
-// TestRequestsWaitForTheStart guards against requests refused during startup: a request
+// TestRequestsWaitForStartup guards against requests refused during startup: a request
 // waits until configuration, upstreams and homes are known, and is then served.
-func TestRequestsWaitForTheStart(t *testing.T) {
+func TestRequestsWaitForStartup(t *testing.T) {
 	is := is.New(t)
 	f := newStartingEntry(t)
 	status := make(chan int)
@@ -62,9 +62,9 @@
 	is.Equal(<-status, http.StatusNotFound)
 }
 
-// TestLongStartRefuses guards against callers that wait for an entry whose startup does not
+// TestRequestsAreRefusedAfterStartupTimeout guards against callers that wait for an entry whose startup does not
 // complete: the first is refused after the timeout, later ones at once.
-func TestLongStartRefuses(t *testing.T) {
+func TestRequestsAreRefusedAfterStartupTimeout(t *testing.T) {
 	is := is.New(t)
 	f := newStartingEntry(t)
 	is.Equal(get(t, f), http.StatusServiceUnavailable)
--- a/internal/process/heartbeater/heartbeater_test.go
+++ b/internal/process/heartbeater/heartbeater_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestOneLeadARegion(t *testing.T) {
+func TestEachRegionHasOneLeader(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	n.loss = 0.02
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestDeadMemberIsForgotten(t *testing.T) {
+func TestDeadMemberIsNotListedAsAlive(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	addFleet(n, 24)
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestLeadThatLostTheStoreIsFollowed(t *testing.T) {
+func TestLeaderWithoutStoreIsReplaced(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	addFleet(n, 12)
@@ -147,7 +147,7 @@
 
 // Members must not rely on a leader that the store no longer responds to, even before the
 // leader has noticed.
-func TestLeadThatHearsNothingIsNotReliedOn(t *testing.T) {
+func TestMembersDoNotRelyOnLeaderWithStaleStore(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	addFleet(n, 12)
@@ -170,7 +170,7 @@
 	is.Equal(followers(), 0)
 }
 
-func TestRelayReachesTheRegion(t *testing.T) {
+func TestRelayReachesMembersOfItsRegionOnly(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	addFleet(n, 12)
@@ -185,12 +185,12 @@
 		}
 		is.Equal(len(m.relayed), 2)
 		is.Equal(m.relayed[0], heartbeater.Changes{Kind: "k", From: 3, To: 5, Body: []byte("x")})
-		is.True(m.relayed[1].Omitted) // too long for a datagram
+		is.True(m.relayed[1].Omitted) // longer than MaxRelayBytes
 	}
 }
 
 // A member that missed changes asks the leader for them before it asks the store.
-func TestMissedChangesComeFromTheLead(t *testing.T) {
+func TestMissedChangesAreRequestedFromLeader(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	addFleet(n, 12)
@@ -199,7 +199,7 @@
 	leader.ChangesAfter = func(kind string, from uint64) []heartbeater.Changes {
 		return []heartbeater.Changes{{Kind: kind, From: from, To: from + 1}, {Kind: kind, From: from + 1, To: from + 4}}
 	}
-	is.True(!leader.Ask("k", 3)) // the leader has no other to ask
+	is.True(!leader.Ask("k", 3)) // the leader itself has no leader to ask
 	for _, m := range n.members {
 		if m.self.Site.Region() == "east" && m != leader {
 			is.True(m.Ask("k", 7))
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestDatagramsThatAreNoneAreDropped(t *testing.T) {
+func TestMalformedDatagramsAreDropped(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	m := n.add("m00", "east/a")
--- a/internal/process/heartbeater/limits_test.go
+++ b/internal/process/heartbeater/limits_test.go
@@ -6,11 +6,10 @@
 	"github.com/matryer/is"
 )
 
-// In an outage of the store, members notice it up to a second apart and disagree on the leader.
-// If the limit allocator depended on who reaches the store, no member might be one: in a recorded
-// run, 1,900 requests in two seconds were refused because the use of their organisations' limits
-// was unknown.
-func TestWhoCountsWithoutStore(t *testing.T) {
+// Members notice an outage of the store up to a second apart and meanwhile disagree on the leader.
+// If the choice of a limit allocator depended on who reaches the store, there might be none, and
+// requests would be refused because the use of their organisations' limits is unknown.
+func TestLimitAllocatorsDoNotDependOnStore(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	addFleet(n, 24)
--- a/internal/process/heartbeater/start_test.go
+++ b/internal/process/heartbeater/start_test.go
@@ -220,9 +220,9 @@
 	return most
 }
 
-// While a fleet starts, members may follow a leader that then learns of a better one and steps
-// down. Each must hear of the better one before it considers itself the leader.
-func TestStartOfAllHasOneLeadARegion(t *testing.T) {
+// While a fleet starts, members may follow a leader that learns of a better one and steps down.
+// They must learn of the better leader before any of them considers itself the leader.
+func TestFleetStartGivesEachRegionOneLeader(t *testing.T) {
 	runs := map[int]uint64{9: 10, 100: 4, 295: 1}
 	for size, seeds := range runs {
 		for _, staleBy := range []timekeeper.Millis{0, 1000} {
@@ -241,7 +241,7 @@
 
 // A member that misses two heartbeats of the leader in a row may be without a leader until the
 // next one.
-func TestLossLeavesFewStrays(t *testing.T) {
+func TestLostDatagramsLeaveFewMembersWithoutLeader(t *testing.T) {
 	is := is.New(t)
 	n := newTimedNetwork(100, 1)
 	n.loss = 0.01
@@ -251,7 +251,7 @@
 }
 
 // When a leader dies, the next member in the order takes over for the whole region at once.
-func TestDeathOfALeadLeavesNoStrays(t *testing.T) {
+func TestLeaderDeathLeavesNoMemberWithoutLeader(t *testing.T) {
 	is := is.New(t)
 	n := newTimedNetwork(100, 1)
 	n.start(0)
@@ -260,7 +260,8 @@
 		m := n.members[name]
 		m.dead = m.self.Site.Region() == "west" && m.IsLeader()
 	}
-	// Three heartbeats of silence, and two more until the next leader is heard.
+	// The leader is silent for three heartbeats before the next one takes over, and two more
+	// pass until all members have heard from the new leader.
 	n.runUntil(7700)
 	is.Equal(n.maxWithoutLeader(15000), 0)
 }
--- a/internal/process/heartbeater/suspects_test.go
+++ b/internal/process/heartbeater/suspects_test.go
@@ -47,10 +47,10 @@
 	return m.Quarantine.Check(crashing, quarantiner.Observation{}).Refused
 }
 
-// TestSuspectsReachAll has one request crash an upstream at each of three members in different
+// TestSuspectsReachAllMembers has one request crash an upstream at each of three members in different
 // regions. Without loss, all members must bar it before the next heartbeat; with one datagram
 // in three lost, within the 4 s that the platform relies on.
-func TestSuspectsReachAll(t *testing.T) {
+func TestSuspectsReachAllMembers(t *testing.T) {
 	for _, size := range []int{9, 60, 295} {
 		for _, loss := range []float64{0, 0.33} {
 			t.Run(fmt.Sprint(size, " members, loss ", loss), func(t *testing.T) {
@@ -78,7 +78,7 @@
 				late := 0
 				for ; !n.barredByAll(); late++ {
 					is.True(late*round < 4000)
-					n.members["m00"].reportCrash() // a member that missed an announcement would crash again
+					n.members["m00"].reportCrash() // crashes another upstream if this member missed an announcement
 					n.announce()
 					n.rounds(1)
 				}
@@ -98,9 +98,9 @@
 	return true
 }
 
-// TestSuspectsAreToldToLateMembers starts a member, and reconnects one with an outdated view,
+// TestSuspectsReachNewAndReconnectedMembers starts a member, and reconnects one with an outdated view,
 // after one request was quarantined and another cleared. Both must catch up.
-func TestSuspectsAreToldToLateMembers(t *testing.T) {
+func TestSuspectsReachNewAndReconnectedMembers(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	other := quarantiner.Content{Target: "/other"}.Fingerprint()
--- a/internal/process/heartbeater/traffic_test.go
+++ b/internal/process/heartbeater/traffic_test.go
@@ -17,9 +17,9 @@
 	distance registrar.Distance
 }
 
-// TestDatagramsAreCounted has members in two failure domains of a region and in another
+// TestTrafficIsCountedByPurposeAndDistance has members in two failure domains of a region and in another
 // region. The bytes sent and received must agree by purpose and distance.
-func TestDatagramsAreCounted(t *testing.T) {
+func TestTrafficIsCountedByPurposeAndDistance(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	sent, received := map[trafficKey]int64{}, map[trafficKey]int64{}
--- a/internal/process/joiner/joiner_test.go
+++ b/internal/process/joiner/joiner_test.go
@@ -21,10 +21,10 @@
 	return nil, errors.New("no platform")
 }
 
-// TestAskedBeforeStart calls a joiner while it starts, as the operators' listener does
+// TestMethodsMayBeCalledDuringStart calls a joiner while it starts, as the operators' listener does
 // in a daemon without settings. Under -race it fails if Start writes a field that
 // another method reads.
-func TestAskedBeforeStart(t *testing.T) {
+func TestMethodsMayBeCalledDuringStart(t *testing.T) {
 	is := is.New(t)
 	clock := timekeeper.Clock{}
 	j := &joiner.Joiner{
--- a/internal/process/leader/summary_test.go
+++ b/internal/process/leader/summary_test.go
@@ -46,7 +46,7 @@
 	return s
 }
 
-func TestSummaryComesBack(t *testing.T) {
+func TestSummaryEncodeDecodeRoundTrip(t *testing.T) {
 	is := is.New(t)
 	s := summaryOf(3)
 	b, err := s.Encode()
@@ -56,9 +56,9 @@
 	is.Equal(got, s)
 }
 
-// BenchmarkObjects reports the size of the objects sent to all members, before and
+// BenchmarkObjectSizes reports the size of the objects sent to all members, before and
 // after packing, for growing numbers of sites, members and origins.
-func BenchmarkObjects(b *testing.B) {
+func BenchmarkObjectSizes(b *testing.B) {
 	for _, n := range []int{3, 6, 11} {
 		b.Run(fmt.Sprint("summary/sites=", n), func(b *testing.B) {
 			measure(b, summaryOf(n), summaryOf(n).Encode)
--- a/internal/process/switcher/mechanisms_test.go
+++ b/internal/process/switcher/mechanisms_test.go
@@ -9,7 +9,7 @@
 	"github.com/gullvale/gullvale/internal/process/switcher"
 )
 
-func TestZeroValueHasNone(t *testing.T) {
+func TestZeroSetIsEmpty(t *testing.T) {
 	is := is.New(t)
 	var s switcher.Set
 	for _, m := range switcher.All() {
@@ -19,9 +19,9 @@
 	is.Equal(len(s.List()), 0)
 }
 
-// TestNamesAreRead parses the name of each mechanism: the result must hold this mechanism
+// TestParseSingleName parses the name of each mechanism: the result must hold this mechanism
 // only and have its name.
-func TestNamesAreRead(t *testing.T) {
+func TestParseSingleName(t *testing.T) {
 	for _, m := range switcher.All() {
 		t.Run(m.String(), func(t *testing.T) {
 			is := is.New(t)
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestListsAreRead(t *testing.T) {
+func TestParseList(t *testing.T) {
 	is := is.New(t)
 	s, err := switcher.Parse(" rank,homes,,rank ")
 	is.NoErr(err)
@@ -47,9 +47,9 @@
 	is.Equal(s, switcher.Set(0))
 }
 
-// TestUnknownNamesAreRefusedAtOnce requires one error that lists all unknown and all known
+// TestParseReportsAllUnknownNames requires one error that lists all unknown and all known
 // names.
-func TestUnknownNamesAreRefusedAtOnce(t *testing.T) {
+func TestParseReportsAllUnknownNames(t *testing.T) {
 	is := is.New(t)
 	s, err := switcher.Parse("homes,wings,Rank,retry-budget")
 	is.True(err != nil)
