--- a/internal/process/claimer/claimer.go
+++ b/internal/process/claimer/claimer.go
@@ -135,7 +135,7 @@
 	var out []func()
 	for region, upstreams := range byRegion {
 		for _, m := range c.peers(region) {
-			out = append(out, c.claimMessage(ctx, m, region, upstreams))
+			out = append(out, c.prepareClaim(ctx, m, region, upstreams))
 		}
 		for _, u := range upstreams {
 			c.tryActivate(u)
@@ -158,9 +158,9 @@
 	return out
 }
 
-// claimMessage registers a claim for a member and returns a function that sends it. The
+// prepareClaim registers a claim for a member and returns a function that sends it. The
 // caller must hold the lock and call the function without it.
-func (c *Claimer) claimMessage(ctx context.Context, m registrar.Member, region string, upstreams []string) func() {
+func (c *Claimer) prepareClaim(ctx context.Context, m registrar.Member, region string, upstreams []string) func() {
 	c.sequence++
 	c.outstanding[c.sequence] = claimMessage{to: m.Incarnation, upstreams: upstreams}
 	msg := &framer.Claim{
--- a/internal/process/follower/follow.go
+++ b/internal/process/follower/follow.go
@@ -33,7 +33,7 @@
 
 	// An entry may retry the fraction retryRatio of its requests, and retryBurst
 	// requests in addition, within retryWindow. The ratio is the default of the
-	// setting RetryBudget, the burst its reserve.
+	// setting RetryBudget, the burst the size of a daemon's token bucket for retries.
 	retryRatio  = 0.1
 	retryBurst  = 10
 	retryWindow = 10 * timekeeper.Second
@@ -118,7 +118,8 @@
 	return f, nil
 }
 
-// newLimits returns the organisations' limits for an entry that is the only one.
+// newLimits returns the limiter of organisations for an entry without others to share the
+// limits with.
 func (f *Follower) newLimits() *limiter.Limiter {
 	return limiter.New(limiter.Options{
 		Tolerance: func() limiter.Tolerance { return limiter.Tolerance{} },
--- a/internal/process/fronter/fronter.go
+++ b/internal/process/fronter/fronter.go
@@ -42,13 +42,13 @@
 	// bounds are divided, is refreshed: once per heartbeat.
 	membersInterval = 500 * time.Millisecond
 
-	// forgetInterval is how often unused keys are evicted. A pass over the maximum
-	// number of keys takes 1.8 ms (BenchmarkForget).
+	// forgetInterval is how often unused keys are evicted. Each eviction visits all keys,
+	// which BenchmarkForget measures.
 	forgetInterval = 15 * time.Second
 
 	// requestLogRate, in lines per second, and requestLogBurst limit the log lines
-	// about requests. They allow five times the request rate of a VM. At 19 µs per
-	// line (BenchmarkLine) logging takes at most 4 ms of CPU time per second.
+	// about requests. They allow five times the request rate of a VM, and keep the CPU
+	// time of logging small (BenchmarkLine).
 	requestLogRate  = 200
 	requestLogBurst = 400
 
@@ -278,8 +278,8 @@
 	return f.addresses
 }
 
-// Leave begins the shutdown: the entry is no longer ready, and responses tell callers that
-// still use its address to go elsewhere.
+// Leave begins the shutdown: the entry is no longer ready, and its responses ask callers that
+// still use its address to use another entry.
 func (f *Fronter) Leave() {
 	began := f.clock.Now()
 	end := began + f.options.StopTimeout - stopReserve
--- a/internal/process/fronter/start.go
+++ b/internal/process/fronter/start.go
@@ -11,9 +11,9 @@
 )
 
 // startupTimeout is how long after its start an entry holds requests that it cannot route
-// yet. Startup takes 0.2 to 0.35 s. A refused caller would come back later than that, and
-// would find another starting entry if all entries were lost. Startup without the store
-// takes longer; after the timeout requests are refused at once.
+// yet. Startup takes 0.2 to 0.35 s, less than callers wait before they retry a refused
+// request; if all entries were lost, the retry would only reach another starting entry.
+// Startup without the store takes longer; after the timeout requests are refused at once.
 const startupTimeout = 1000 * timekeeper.Millis(1)
 
 // startup tracks what an entry needs to know before it serves.
@@ -34,7 +34,8 @@
 }
 
 // SetHomesKnown records that the homes of keys are known, or that they cannot be known now. A
-// request that is served before that gives its key another home, at three times the work.
+// request that is served earlier may give its key another home, where the key is not cached
+// and the request costs three times the work.
 func (f *Fronter) SetHomesKnown() {
 	f.startup.homesKnown.Store(true)
 	f.completeStartup()
--- a/internal/process/fronter/traffic.go
+++ b/internal/process/fronter/traffic.go
@@ -16,8 +16,8 @@
 const upstreamTraffic = "upstream"
 
 // byteCounter returns a counter of the bytes to and from an upstream, so that operators see
-// the traffic between failure domains. An exchange takes 45 µs with it and 43 µs without
-// (BenchmarkExchange, four runs each, with a spread of 8 and 13 µs).
+// the traffic between failure domains. Its cost is below the noise of
+// BenchmarkExchange.
 func (f *Fronter) byteCounter(u *cataloger.Upstream) sender.Counter {
 	l := measurer.Labels{
 		Service: string(u.Service),
--- a/internal/process/heartbeater/heartbeater.go
+++ b/internal/process/heartbeater/heartbeater.go
@@ -151,7 +151,8 @@
 		// or by a row with its age. Only this time is sent to others.
 		lastAlive timekeeper.Millis
 		// confirmed is the time of the last liveness confirmation by the leader. It is
-		// not sent to others, since two members could then keep a dead one alive.
+		// not sent to others: two members could otherwise keep a dead one alive by
+		// confirming it to each other.
 		confirmed timekeeper.Millis
 		// lastHeartbeat is when its own last heartbeat was received.
 		lastHeartbeat timekeeper.Millis
@@ -215,7 +216,7 @@
 			toFar = b.remoteTargets(self.Site.Region())
 		}
 	case all:
-		to = b.region(self.Site.Region())
+		to = b.regionTargets(self.Site.Region())
 	default:
 		near.Rows = b.remoteRows()
 		to = b.memberTargets(self.Site.Region())
@@ -225,13 +226,13 @@
 	b.send(toFar, &Datagram{Beat: far})
 }
 
-// Receive handles a datagram from an address and reports whether it could be decoded.
-// Other datagrams are dropped: they may come from another version.
+// Receive handles a datagram from an address and reports whether it could be decoded. It
+// drops datagrams that cannot be decoded: they may come from another version.
 func (b *Heartbeater) Receive(from string, datagram []byte) bool {
 	var d Datagram
-	understood := proto.Unmarshal(datagram, &d) == nil
-	defer b.count(from, Traffic{Purpose: d.purpose(), Received: int64(len(datagram))})
-	if !understood {
+	decoded := proto.Unmarshal(datagram, &d) == nil
+	defer b.reportTraffic(from, Traffic{Purpose: d.purpose(), Received: int64(len(datagram))})
+	if !decoded {
 		return false
 	}
 	if d.Beat != nil && d.Beat.From != nil {
@@ -292,8 +293,8 @@
 	switch {
 	case m.Reply:
 		if next := b.leader(self); next != nil && next != followed {
-			// Waiting for the next round would delay the new leader's response, and
-			// with it the time from which it is relied on, by a round.
+			// The heartbeat names a new leader. It gets a heartbeat now rather than in
+			// the next round, so that it responds and can be relied on a round earlier.
 			reply, to = b.newBeat(self, nil), next.Beats
 		}
 	case near:
--- a/internal/process/heartbeater/member.go
+++ b/internal/process/heartbeater/member.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// digest returns a digest of the living members and their states. A leader ignores liveness
-// confirmations. The caller must hold the lock.
+// digest returns a digest of the living members and their states. If leading is set, a member
+// that is alive only by a liveness confirmation is left out. The caller must hold the lock.
 func (b *Heartbeater) digest(leading bool) uint64 {
 	now := b.Clock.Now()
 	d := memberDigest(b.self)
--- a/internal/process/heartbeater/relay.go
+++ b/internal/process/heartbeater/relay.go
@@ -12,7 +12,7 @@
 		b.lock.Unlock()
 		return
 	}
-	to := b.region(self.Site.Region())
+	to := b.regionTargets(self.Site.Region())
 	b.lock.Unlock()
 	b.send(to, &Datagram{Relay: relayOf(c)})
 }
@@ -52,7 +52,7 @@
 func (b *Heartbeater) Announce(list []assigner.Assignment) {
 	self := b.Self()
 	b.lock.Lock()
-	to := b.region(self.Site.Region())
+	to := b.regionTargets(self.Site.Region())
 	b.lock.Unlock()
 	b.send(to, &Datagram{Homes: homesOf(list)})
 }
@@ -61,7 +61,7 @@
 // the other regions. far must ask them to forward it.
 func (b *Heartbeater) broadcast(self Member, near, far *Datagram) {
 	b.lock.Lock()
-	to, toFar := b.region(self.Site.Region()), b.remoteTargets(self.Site.Region())
+	to, toFar := b.regionTargets(self.Site.Region()), b.remoteTargets(self.Site.Region())
 	b.lock.Unlock()
 	b.send(to, near)
 	b.send(toFar, far)
@@ -74,7 +74,7 @@
 	b.lock.Lock()
 	var to []string
 	if b.leader(self) == nil {
-		to = b.region(self.Site.Region())
+		to = b.regionTargets(self.Site.Region())
 	}
 	b.lock.Unlock()
 	b.send(to, d)
--- a/internal/process/heartbeater/target.go
+++ b/internal/process/heartbeater/target.go
@@ -8,7 +8,7 @@
 // memberTargets returns the addresses that a member sends its heartbeats to while it does not lead.
 // They include discovery addresses if it hears no leader.
 func (b *Heartbeater) memberTargets(region string) []string {
-	first := b.first(region, heartbeatTargets)
+	first := b.firstTargets(region, heartbeatTargets)
 	now := b.Clock.Now()
 	for _, k := range b.members {
 		if now-k.lastLeading < leaderTimeout && k.Site.Region() == region {
@@ -22,7 +22,7 @@
 // seeds, and discovery addresses while it hears no member. Two leaders of a region whose members
 // don't know each other discover each other through a seed.
 func (b *Heartbeater) leaderTargets(region string) []string {
-	to := append(b.region(region), b.seedTargets()...)
+	to := append(b.regionTargets(region), b.seedTargets()...)
 	now := b.Clock.Now()
 	for _, k := range b.members {
 		if now-k.lastHeartbeat < MemberTimeout && k.lastHeartbeat > 0 {
@@ -48,9 +48,9 @@
 	return to[:min(len(to), maxDiscoveryTargets)]
 }
 
-// region returns the addresses of the other members of a region, including those that have
+// regionTargets returns the addresses of the other members of a region, including those that have
 // been silent for less than forgetTimeout.
-func (b *Heartbeater) region(region string) (to []string) {
+func (b *Heartbeater) regionTargets(region string) (to []string) {
 	for _, k := range b.members {
 		if k.Site.Region() == region {
 			to = append(to, k.Beats)
@@ -69,10 +69,10 @@
 		if r == region {
 			continue
 		}
-		first := b.first(r, targetsPerRegion)
+		first := b.firstTargets(r, targetsPerRegion)
 		if len(first) == 0 {
 			// No member there is known to be alive: try any that was.
-			first = b.region(r)
+			first = b.regionTargets(r)
 			first = first[:min(len(first), targetsPerRegion)]
 		}
 		to = append(to, first...)
@@ -80,8 +80,9 @@
 	return to
 }
 
-// first returns the addresses of the first n living members of a region in the leader order.
-func (b *Heartbeater) first(region string, n int) (to []string) {
+// firstTargets returns the addresses of the first n living members of a region in the leader
+// order.
+func (b *Heartbeater) firstTargets(region string, n int) (to []string) {
 	now := b.Clock.Now()
 	var l []*knownMember
 	for _, k := range b.members {
--- a/internal/process/heartbeater/traffic.go
+++ b/internal/process/heartbeater/traffic.go
@@ -50,8 +50,8 @@
 	return UnknownPurpose
 }
 
-// count reports bytes sent to or received from an address.
-func (b *Heartbeater) count(address string, t Traffic) {
+// reportTraffic adds the distance of the address to t and reports it to OnTraffic.
+func (b *Heartbeater) reportTraffic(address string, t Traffic) {
 	if b.OnTraffic == nil {
 		return
 	}
--- a/internal/process/heartbeater/wire.go
+++ b/internal/process/heartbeater/wire.go
@@ -58,7 +58,7 @@
 	slices.Sort(to)
 	for _, a := range slices.Compact(to) {
 		b.Send(a, body)
-		b.count(a, Traffic{Purpose: d.purpose(), Sent: int64(len(body))})
+		b.reportTraffic(a, Traffic{Purpose: d.purpose(), Sent: int64(len(body))})
 	}
 }
 
--- a/internal/process/joiner/joiner.go
+++ b/internal/process/joiner/joiner.go
@@ -72,7 +72,8 @@
 		// pauses is the number of pauses before the last confirmation.
 		pauses uint64
 		leader registrar.Incarnation
-		// platformDown is what the leader last reported.
+		// platformDown reports whether the leader last reported the platform as
+		// unreachable.
 		platformDown bool
 		// requestedInterval is the heartbeat interval that the leader last asked for.
 		requestedInterval timekeeper.Millis
--- a/internal/process/joiner/pause.go
+++ b/internal/process/joiner/pause.go
@@ -11,8 +11,8 @@
 	pauseCheckInterval = 100 * time.Millisecond
 
 	// maxPause is the longest time that the process may be stopped without
-	// counting as paused. Nobody takes over from a member that is silent for less:
-	// neither a leader nor, in an outage of the platform, its peers.
+	// counting as paused. A member that is silent for less keeps its upstreams: neither
+	// a leader nor, in an outage of the platform, its peers reassign them.
 	maxPause = Validity
 )
 
--- a/internal/process/leader/leader.go
+++ b/internal/process/leader/leader.go
@@ -163,10 +163,10 @@
 // end has terminated.
 func (l *Leader) LinkClosed(ctx context.Context, s *linker.Session) {
 	l.lock.Lock()
-	_, ours := l.cursors[s]
+	_, tracked := l.cursors[s]
 	delete(l.cursors, s)
 	l.lock.Unlock()
-	if ours && l.IsLeader() {
+	if tracked && l.IsLeader() {
 		// The member may be unable to dial this daemon. It can send heartbeats over
 		// a link dialled from here.
 		l.Links.Peer(ctx, s.Remote())
--- a/internal/process/leader/members.go
+++ b/internal/process/leader/members.go
@@ -294,9 +294,9 @@
 	t.Peak += l.Peak
 }
 
-// runProbe determines whether a member whose link was lost has terminated: either
-// nothing listens at its address, or another process does. A network failure shows
-// neither, and the member stays on the roster until MemberTimeout has passed.
+// runProbe determines whether a member whose link was lost has terminated, in which case its
+// address refuses connections. After a network failure no connection is refused, and the
+// member stays on the roster until MemberTimeout has passed.
 func (l *Leader) runProbe(ctx context.Context, m registrar.Member, since timekeeper.Millis) {
 	for range probeAttempts {
 		if l.refusesConnection(ctx, m) {
--- a/internal/process/leader/summary_test.go
+++ b/internal/process/leader/summary_test.go
@@ -61,22 +61,22 @@
 func BenchmarkObjectSizes(b *testing.B) {
 	for _, n := range []int{3, 6, 11} {
 		b.Run(fmt.Sprint("summary/sites=", n), func(b *testing.B) {
-			measure(b, summaryOf(n), summaryOf(n).Encode)
+			reportSizes(b, summaryOf(n), summaryOf(n).Encode)
 		})
 	}
 	for _, n := range []int{10, 25, 71} {
 		b.Run(fmt.Sprint("roster/members=", n), func(b *testing.B) {
-			measure(b, rosterOf(n), rosterOf(n).Encode)
+			reportSizes(b, rosterOf(n), rosterOf(n).Encode)
 		})
 	}
 	for _, n := range []int{6, 25, 75} {
 		b.Run(fmt.Sprint("plan/origins=", n), func(b *testing.B) {
-			measure(b, planOf(n), planOf(n).Encode)
+			reportSizes(b, planOf(n), planOf(n).Encode)
 		})
 	}
 }
 
-func measure(b *testing.B, v any, encode func() ([]byte, error)) {
+func reportSizes(b *testing.B, v any, encode func() ([]byte, error)) {
 	plain, err := json.Marshal(v)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/process/runner/assemble.go
+++ b/internal/process/runner/assemble.go
@@ -116,7 +116,8 @@
 	if err := d.applier.Restore(s); err != nil {
 		return err
 	}
-	// No reader needs changes that the snapshot has long included.
+	// Drop the changes from more than SnapshotEvery before the snapshot. Readers start at
+	// the snapshot and don't need them.
 	d.replica.Forget(func(name string) bool {
 		n, ok := d.records.NumberOf(name)
 		return ok && n+recorder.SnapshotEvery < s.Number
--- a/internal/process/runner/doc.go
+++ b/internal/process/runner/doc.go
@@ -1,3 +1,3 @@
 // Package runner assembles and starts the components of a daemon, and stops them in
-// an order that cuts no request.
+// an order that interrupts no request.
 package runner
--- a/internal/process/runner/stop.go
+++ b/internal/process/runner/stop.go
@@ -23,7 +23,7 @@
 	releaseTimeout = 2 * time.Second
 )
 
-// Stop leaves the fleet without cutting requests: it announces that it leaves, keeps
+// Stop leaves the fleet without interrupting requests: it announces that it leaves, keeps
 // serving callers whose lookups still name it, hands its upstreams over, and waits for
 // requests in flight. When ctx ends, it stops waiting.
 func (d *Daemon) Stop(ctx context.Context) {
--- a/internal/process/runner/unreachable.go
+++ b/internal/process/runner/unreachable.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// confirmedDead returns the members found unreachable that are still on the roster and
-// still proved dead. Once the platform is back, the leader takes some seconds to write
-// a roster without them.
+// confirmedDead returns the members on the list that are still on the roster and whose last
+// dial showed that they terminated. Once the platform is back, the leader takes some seconds
+// to write a roster without them.
 func (d *Daemon) confirmedDead(ctx context.Context) map[registrar.Incarnation]bool {
 	before := d.unreachable.list()
 	if len(before) == 0 {
--- a/internal/process/switcher/mechanisms.go
+++ b/internal/process/switcher/mechanisms.go
@@ -97,8 +97,8 @@
 	Mechanism uint8
 
 	// Set is a set of mechanisms, in a daemon those that are off. The zero value is empty.
-	// It implements pflag.Value as a comma-separated list of names. Has takes no lock and
-	// about 2 ns (BenchmarkHas).
+	// It implements pflag.Value as a comma-separated list of names. Has takes no lock, so
+	// that it can be called for each request (BenchmarkHas).
 	Set uint32
 )
 
