--- a/internal/process/leader/summary_test.go
+++ b/internal/process/leader/summary_test.go
@@ -56,9 +56,9 @@
 	is.Equal(got, s)
 }
 
-// BenchmarkObjectSizes reports the size of the objects sent to all members, before and
+// BenchmarkObjects reports the size of the objects sent to all members, before and
 // after packing, for growing numbers of sites, members and origins.
-func BenchmarkObjectSizes(b *testing.B) {
+func BenchmarkObjects(b *testing.B) {
 	for _, n := range []int{3, 6, 11} {
 		b.Run(fmt.Sprint("summary/sites=", n), func(b *testing.B) {
 			reportSizes(b, summaryOf(n), summaryOf(n).Encode)
