--- a/internal/connection/encrypter/encrypt_test.go
+++ b/internal/connection/encrypter/encrypt_test.go
@@ -29,8 +29,8 @@
 	return e
 }
 
-// exchangeGreeting dials a listener of b, sends the greeting and reads it back. It returns
-// the first error of the dialling side.
+// exchangeGreeting connects to a listener of b with dial, sends the greeting and reads it
+// back. It returns the first error of the dialling side.
 func exchangeGreeting(t *testing.T, b *encrypter.Encrypter, dial func(context.Context, string) (net.Conn, error)) error {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -58,7 +58,7 @@
 	return err
 }
 
-func TestOnlySignedEndsTalk(t *testing.T) {
+func TestOnlyTrustedCertificatesAreAccepted(t *testing.T) {
 	ours, theirs := signer.New(), signer.New()
 	later := time.Now().Add(time.Hour)
 	b := load(t, ours.Files(t.TempDir(), later, ours))
@@ -77,7 +77,7 @@
 	}{
 		{"same authority", load(t, ours.Files(t.TempDir(), later, ours)).Dial, true},
 		{"other authority", load(t, theirs.Files(t.TempDir(), later, theirs, ours)).Dial, false},
-		{"does not trust us", load(t, ours.Files(t.TempDir(), later, theirs)).Dial, false},
+		{"listener's authority not trusted", load(t, ours.Files(t.TempDir(), later, theirs)).Dial, false},
 		{"expired", load(t, ours.Files(t.TempDir(), time.Now().Add(-time.Minute), ours)).Dial, false},
 		{"no certificate", noCertificate, false},
 		{"no TLS", plain, false},
@@ -122,7 +122,7 @@
 	is.NoErr(exchangeGreeting(t, b, successor.Dial))
 }
 
-func TestLoadNamesTheSetting(t *testing.T) {
+func TestLoadErrorNamesTheSetting(t *testing.T) {
 	is := is.New(t)
 	a := signer.New()
 	f := a.Files(t.TempDir(), time.Now().Add(time.Hour), a)
--- a/internal/connection/linker/link_test.go
+++ b/internal/connection/linker/link_test.go
@@ -59,9 +59,10 @@
 	return from, to, p
 }
 
-// TestLinkServesBothWays sends requests to a member that refuses connections, over the
-// link that the member itself dialled. They are refused once that link is closed.
-func TestLinkServesBothWays(t *testing.T) {
+// TestRequestsUseLinkDialledByTheOtherSide sends requests to a member that refuses
+// connections, over the link that the member itself dialled. They are refused once that
+// link is closed.
+func TestRequestsUseLinkDialledByTheOtherSide(t *testing.T) {
 	is := is.New(t)
 	var s manualClock
 	from, to, dialled := connectManagers(t, s.newClock())
@@ -95,9 +96,9 @@
 	}
 }
 
-// TestAnswersCarryFreeSlots runs one request over a link. Its End frame reports the free
+// TestEndFrameCarriesFreeSlots runs one request over a link. Its End frame reports the free
 // slots, so that no frame on the control stream is needed.
-func TestAnswersCarryFreeSlots(t *testing.T) {
+func TestEndFrameCarriesFreeSlots(t *testing.T) {
 	is := is.New(t)
 	var s manualClock
 	_, to, p := connectManagers(t, s.newClock())
@@ -108,17 +109,17 @@
 	is.Equal(free, 5)
 	is.Equal(slots, 12)
 	is.Equal(to.Counters().Frames.Load(), frames)
-	// A value that the sender already has is not announced; one far from it is.
+	// A value that the remote end already has is not announced. A very different one is.
 	is.True(to.AnnounceFreeSlots(poolKey, 5, 12))
 	is.Equal(to.Counters().Frames.Load(), frames)
 	is.True(to.AnnounceFreeSlots(poolKey, 0, 12))
 	is.Equal(to.Counters().Frames.Load(), frames+1)
 }
 
-// TestAnnouncementsHaveABudget changes the free slots far more often than the rate limit
-// allows. AnnounceFreeSlots reports false for the others, and succeeds again
-// later.
-func TestAnnouncementsHaveABudget(t *testing.T) {
+// TestAnnouncementsAreRateLimited changes the free slots far more often than the rate limit
+// allows. AnnounceFreeSlots reports false for the changes that it did not announce, and
+// succeeds again later.
+func TestAnnouncementsAreRateLimited(t *testing.T) {
 	is := is.New(t)
 	var s manualClock
 	_, to, _ := connectManagers(t, s.newClock())
@@ -136,9 +137,9 @@
 	is.True(announced)
 }
 
-// TestQuietLinkIsAsked advances the clock after a request, so that the link has no recent
-// replies. The link is pinged, and the remote end replies.
-func TestQuietLinkIsAsked(t *testing.T) {
+// TestLinkWithoutRecentRepliesIsPinged advances the clock after a request, so that the link
+// has no recent replies. The link is pinged, and the remote end replies.
+func TestLinkWithoutRecentRepliesIsPinged(t *testing.T) {
 	is := is.New(t)
 	var s manualClock
 	from, _, p := connectManagers(t, s.newClock())
--- a/internal/connection/pacer/pace_test.go
+++ b/internal/connection/pacer/pace_test.go
@@ -25,7 +25,7 @@
 	}, slept
 }
 
-func TestPace(t *testing.T) {
+func TestWaitLimitsRate(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		rate  int64
@@ -33,10 +33,10 @@
 		least time.Duration
 		most  time.Duration
 	}{
-		{"first burst is free", 1 << 20, 64 << 10, 0, 0},
-		{"a second's worth", 1 << 20, 1 << 20, 900 * time.Millisecond, time.Second},
-		{"more than a burst at once", 1 << 20, 2 << 20, 1900 * time.Millisecond, 2 * time.Second},
-		{"no rate stalls", 1, 128 << 10, 1900 * time.Millisecond, 2100 * time.Millisecond},
+		{"one burst is not delayed", 1 << 20, 64 << 10, 0, 0},
+		{"one second of data", 1 << 20, 1 << 20, 900 * time.Millisecond, time.Second},
+		{"two seconds of data", 1 << 20, 2 << 20, 1900 * time.Millisecond, 2 * time.Second},
+		{"rate below the minimum", 1, 128 << 10, 1900 * time.Millisecond, 2100 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestPlacesDoNotShare(t *testing.T) {
+func TestDestinationsAreLimitedSeparately(t *testing.T) {
 	is := is.New(t)
 	p, slept := newPacer()
 	is.NoErr(p.Wait(context.Background(), "erie", 1<<20, 1<<20))
@@ -56,7 +56,7 @@
 	is.Equal(*slept, before)
 }
 
-func TestWaitEndsWithItsCaller(t *testing.T) {
+func TestWaitReturnsWhenContextIsDone(t *testing.T) {
 	is := is.New(t)
 	p, _ := newPacer()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/connection/pipeliner/fuzz_test.go
+++ b/internal/connection/pipeliner/fuzz_test.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// closingRequest closes a connection whose requests are complete, so that nothing waits.
+	// closingRequest is appended to each input. If the requests of the input are complete,
+	// it makes the server close the connection at once.
 	closingRequest = "\r\n\r\nGET /end HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
 	// fuzzTimeout is when the caller disconnects if the server has not closed the
@@ -17,8 +18,9 @@
 )
 
 // FuzzRequests sends arbitrary bytes to this server and to that of net/http, and compares
-// the requests that handlers get. Since this server refuses more, its handlers may get only
-// the first of them, but never others.
+// the requests that handlers get. This server refuses some requests that net/http accepts.
+// Its handlers may therefore get only the first requests of those that the handlers of
+// net/http get, but never different ones.
 func FuzzRequests(f *testing.F) {
 	for _, text := range []string{
 		"GET /a HTTP/1.1\r\n" + host + "\r\nGET /b HTTP/1.1\r\n" + host + "\r\n",
@@ -41,9 +43,9 @@
 		gotStandard.clear()
 		a, b := exchangeFor(t, fuzzTimeout, ours, text+closingRequest), exchangeFor(t, fuzzTimeout, standard, text+closingRequest)
 		if a.timedOut || b.timedOut {
-			t.Skip("handlers may still be at work")
+			t.Skip("handlers may still be running")
 		}
-		got, want := gotOurs.of(a.caller), gotStandard.of(b.caller)
+		got, want := gotOurs.requestsOf(a.caller), gotStandard.requestsOf(b.caller)
 		if len(got) > len(want) || !slices.Equal(got, want[:len(got)]) {
 			t.Fatalf("for %q handlers get\n%q, with net/http\n%q", text, got, want)
 		}
--- a/internal/connection/pipeliner/server_test.go
+++ b/internal/connection/pipeliner/server_test.go
@@ -195,10 +195,10 @@
 	c.expect(false, "/e")
 }
 
-// TestOnceIsHandledAlone pipelines a request that must not overlap between others that
-// may: it starts after all earlier responses are written, and no later request starts
-// before its response is.
-func TestOnceIsHandledAlone(t *testing.T) {
+// TestRequestThatMayNotOverlapIsHandledAlone pipelines a request that must not overlap
+// between others that may. It must start only after all earlier responses are written, and
+// no later request may start before its own response is written.
+func TestRequestThatMayNotOverlapIsHandledAlone(t *testing.T) {
 	is := is.New(t)
 	s := startTestServer(t)
 	c := dial(t, s.address)
@@ -220,9 +220,10 @@
 	c.expect(false, "/c")
 }
 
-// TestStopCutsNothing drains a server with pending requests: all started requests get
-// their response, the last one closes the connection, and no later request starts.
-func TestStopCutsNothing(t *testing.T) {
+// TestDrainingCompletesStartedRequests drains a server with pending requests. All started
+// requests must get their response, the last response must close the connection, and no
+// later request may start.
+func TestDrainingCompletesStartedRequests(t *testing.T) {
 	is := is.New(t)
 	s := startTestServer(t)
 	c := dial(t, s.address)
@@ -239,9 +240,9 @@
 	is.Equal(len(s.started), 0)
 }
 
-// TestShutdownWaits checks that Shutdown closes an idle connection at once, and one with
-// requests after their responses.
-func TestShutdownWaits(t *testing.T) {
+// TestShutdownWaitsForRequests checks that Shutdown closes an idle connection at once, and a
+// connection with requests after their responses.
+func TestShutdownWaitsForRequests(t *testing.T) {
 	is := is.New(t)
 	s := startTestServer(t)
 	idle, busy := dial(t, s.address), dial(t, s.address)
@@ -260,13 +261,13 @@
 	is.True(err != nil)
 }
 
-// TestLeavingCallerEndsItsWork checks that a disconnect cancels the handlers of a caller,
-// also if another request or a part of one follows theirs.
-func TestLeavingCallerEndsItsWork(t *testing.T) {
-	for name, behind := range map[string]string{
-		"nothing behind": "",
-		"once behind":    "POST /once HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody",
-		"half a head":    "GET /half HTTP/1.1\r\nHos",
+// TestDisconnectCancelsHandlers checks that a disconnect cancels the handlers of a caller,
+// even if it has sent another request, or part of one, that has not started.
+func TestDisconnectCancelsHandlers(t *testing.T) {
+	for name, following := range map[string]string{
+		"no further request": "",
+		"waiting request":    "POST /once HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody",
+		"incomplete head":    "GET /half HTTP/1.1\r\nHos",
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -274,7 +275,7 @@
 			c := dial(t, s.address)
 			c.get("/a", "/b", "/c")
 			await(t, s.started, 3)
-			c.send(behind)
+			c.send(following)
 			is.NoErr(c.Close())
 			await(t, s.ended, 3)
 			is.Equal(len(s.started), 0)
@@ -282,8 +283,9 @@
 	}
 }
 
-// TestRequestsAheadAreBounded pipelines more requests than are handled concurrently.
-func TestRequestsAheadAreBounded(t *testing.T) {
+// TestConcurrentRequestsOfConnectionAreLimited pipelines more requests than are handled
+// concurrently.
+func TestConcurrentRequestsOfConnectionAreLimited(t *testing.T) {
 	is := is.New(t)
 	s := startTestServer(t)
 	c := dial(t, s.address)
@@ -301,9 +303,9 @@
 	c.expect(false, paths[1:]...)
 }
 
-// TestSlowReaderHoldsUpItselfOnly checks that a caller that does not read its long
-// responses does not delay another.
-func TestSlowReaderHoldsUpItselfOnly(t *testing.T) {
+// TestSlowReaderDoesNotDelayOthers checks that a caller that does not read its long
+// responses does not delay another caller.
+func TestSlowReaderDoesNotDelayOthers(t *testing.T) {
 	s := startTestServer(t)
 	slow, other := dial(t, s.address), dial(t, s.address)
 	more := "?more=" + strings.Repeat("x", 2000)
@@ -315,9 +317,9 @@
 	slow.expect(false, strings.Repeat(long, 2001), "/b", strings.Repeat(long, 2001))
 }
 
-// TestBrokenAnswerEndsItsConnection aborts the second of three responses. The first must
+// TestAbortedResponseClosesConnection aborts the second of three responses. The first must
 // arrive complete, and no later one may look complete.
-func TestBrokenAnswerEndsItsConnection(t *testing.T) {
+func TestAbortedResponseClosesConnection(t *testing.T) {
 	is := is.New(t)
 	s := startTestServer(t)
 	c := dial(t, s.address)
@@ -333,16 +335,16 @@
 	is.Equal(string(rest), "")
 }
 
-// TestLimitsFollowTheirSettings raises the idle timeout while a connection is idle.
-func TestLimitsFollowTheirSettings(t *testing.T) {
+// TestIdleTimeoutCanChangeWhileIdle raises the idle timeout while a connection is idle.
+func TestIdleTimeoutCanChangeWhileIdle(t *testing.T) {
 	is := is.New(t)
-	var idle, asked atomic.Int64
+	var idle, calls atomic.Int64
 	idle.Store(100)
 	clock := timekeeper.Clock{}
 	s := &pipeliner.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "x") }),
 		IdleTimeout: func() timekeeper.Millis {
-			asked.Add(1)
+			calls.Add(1)
 			return timekeeper.Millis(idle.Load())
 		},
 	}
@@ -355,12 +357,12 @@
 	idle.Store(600)
 	c.expectClose()
 	is.True(clock.Now()-began >= 550)
-	is.True(asked.Load() >= 3)
+	is.True(calls.Load() >= 3)
 }
 
 // TestSlowHeadIsRefused sends an incomplete head. The server of net/http responds with
-// 400, after which callers do not retry. Here the response says that the request did not
-// run, so that they may.
+// 400, after which callers do not retry. The response of this server says that the request
+// did not run, so that callers may retry it.
 func TestSlowHeadIsRefused(t *testing.T) {
 	is := is.New(t)
 	refused := make(chan pipeliner.Kind, 1)
@@ -382,8 +384,9 @@
 	c.expectClose()
 }
 
-// TestWaitingCounts checks that the waiting time of a request counts from its arrival.
-func TestWaitingCounts(t *testing.T) {
+// TestWaitedCountsFromArrival checks that Waited returns the time since the arrival of a
+// request that had to wait for another on its connection.
+func TestWaitedCountsFromArrival(t *testing.T) {
 	is := is.New(t)
 	var now atomic.Int64
 	now.Store(1000)
--- a/internal/connection/pipeliner/standard_test.go
+++ b/internal/connection/pipeliner/standard_test.go
@@ -24,8 +24,8 @@
 const (
 	maxHead = 8 << 10
 
-	// idleLimit is the idle timeout of connections in these tests. It only ends
-	// connections that are kept open, and does not affect the results.
+	// idleLimit is the timeout for idle connections and for heads in these tests. It
+	// closes connections that would otherwise stay open, and does not affect the results.
 	idleLimit = 200 * timekeeper.Millis(1)
 )
 
@@ -36,8 +36,8 @@
 	got  map[string][]string
 }
 
-// of returns the recorded requests of a caller.
-func (e *recorder) of(caller string) []string {
+// requestsOf returns the recorded requests of a caller.
+func (e *recorder) requestsOf(caller string) []string {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	return slices.Clone(e.got[caller])
@@ -70,14 +70,15 @@
 	}
 }
 
-// clear removes all records, since the ports of closed connections are reused.
+// clear removes all records. Otherwise those of an earlier connection with the same port
+// would count for a later one.
 func (e *recorder) clear() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	clear(e.got)
 }
 
-// conversation is what was received over one connection.
+// transcript is what was received over one connection.
 type transcript struct {
 	caller    string
 	responses []responseView
@@ -150,9 +151,9 @@
 
 const host = "Host: x\r\n"
 
-// TestLikeTheStandardServer sends the same bytes to this server and to that of net/http,
+// TestSameBehaviourAsStandardServer sends the same bytes to this server and to that of net/http,
 // and compares the requests that handlers get and the responses that callers get.
-func TestLikeTheStandardServer(t *testing.T) {
+func TestSameBehaviourAsStandardServer(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		methods    []string
@@ -160,19 +161,19 @@
 		{"plain", "GET /x HTTP/1.1\r\n" + host + "\r\n", nil},
 		{"body", "POST /x HTTP/1.1\r\n" + host + "Content-Length: 4\r\n\r\nbody", nil},
 		{"chunks", "POST /x HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", nil},
-		{"two behind each other", "GET /a HTTP/1.1\r\n" + host + "\r\nPOST /b HTTP/1.1\r\n" + host + "Content-Length: 1\r\n\r\nzGET /c HTTP/1.1\r\n" + host + "\r\n", nil},
-		{"empty line between", "POST /b HTTP/1.1\r\n" + host + "Content-Length: 1\r\n\r\nz\r\nGET /c HTTP/1.1\r\n" + host + "\r\n", nil},
+		{"pipelined", "GET /a HTTP/1.1\r\n" + host + "\r\nPOST /b HTTP/1.1\r\n" + host + "Content-Length: 1\r\n\r\nzGET /c HTTP/1.1\r\n" + host + "\r\n", nil},
+		{"empty line between requests", "POST /b HTTP/1.1\r\n" + host + "Content-Length: 1\r\n\r\nz\r\nGET /c HTTP/1.1\r\n" + host + "\r\n", nil},
 		{"caller closes", "GET /a HTTP/1.1\r\n" + host + "Connection: close\r\n\r\nGET /b HTTP/1.1\r\n" + host + "\r\n", nil},
 		{"handler closes", "GET /close HTTP/1.1\r\n" + host + "\r\nGET /b HTTP/1.1\r\n" + host + "\r\n", nil},
 		{"HTTP/1.0", "GET /a HTTP/1.0\r\n\r\nGET /b HTTP/1.0\r\n\r\n", nil},
 		{"HTTP/1.0 long", "GET /long HTTP/1.0\r\n\r\n", nil},
-		{"HTTP/1.0 kept", "GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\nGET /b HTTP/1.0\r\n\r\n", nil},
-		{"HTTP/1.0 kept, long", "GET /long HTTP/1.0\r\nConnection: keep-alive\r\n\r\nGET /b HTTP/1.0\r\n\r\n", nil},
+		{"HTTP/1.0 keep-alive", "GET /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\nGET /b HTTP/1.0\r\n\r\n", nil},
+		{"HTTP/1.0 keep-alive, long", "GET /long HTTP/1.0\r\nConnection: keep-alive\r\n\r\nGET /b HTTP/1.0\r\n\r\n", nil},
 		{"HEAD", "HEAD /stated HTTP/1.1\r\n" + host + "\r\nGET /b HTTP/1.1\r\n" + host + "\r\n", []string{"HEAD", "GET"}},
 		{"no content", "GET /empty HTTP/1.1\r\n" + host + "\r\nGET /b HTTP/1.1\r\n" + host + "\r\n", nil},
-		{"stated length", "GET /stated HTTP/1.1\r\n" + host + "\r\n", nil},
-		{"less than stated", "GET /short HTTP/1.1\r\n" + host + "\r\nGET /b HTTP/1.1\r\n" + host + "\r\n", nil},
-		{"long without length", "GET /long HTTP/1.1\r\n" + host + "\r\nGET /b HTTP/1.1\r\n" + host + "\r\n", nil},
+		{"Content-Length in the response", "GET /stated HTTP/1.1\r\n" + host + "\r\n", nil},
+		{"response shorter than Content-Length", "GET /short HTTP/1.1\r\n" + host + "\r\nGET /b HTTP/1.1\r\n" + host + "\r\n", nil},
+		{"long response without Content-Length", "GET /long HTTP/1.1\r\n" + host + "\r\nGET /b HTTP/1.1\r\n" + host + "\r\n", nil},
 		{"trailer", "GET /trailer HTTP/1.1\r\n" + host + "\r\n", nil},
 		{"upgrade", "GET /x HTTP/1.1\r\n" + host + "Connection: upgrade\r\nUpgrade: other\r\n\r\n", nil},
 		{"continue", "POST /x HTTP/1.1\r\n" + host + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\nbody", nil},
@@ -184,7 +185,7 @@
 		{"unknown coding", "POST /x HTTP/1.1\r\n" + host + "Transfer-Encoding: xchunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", nil},
 		{"two codings", "POST /x HTTP/1.1\r\n" + host + "Transfer-Encoding: gzip, chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", nil},
 		{"bad length", "POST /x HTTP/1.1\r\n" + host + "Content-Length: +3\r\n\r\nabc", nil},
-		{"blank before colon", "POST /x HTTP/1.1\r\n" + host + "Content-Length : 3\r\n\r\nabc", nil},
+		{"space before colon", "POST /x HTTP/1.1\r\n" + host + "Content-Length : 3\r\n\r\nabc", nil},
 		{"bare CR in a value", "GET /x HTTP/1.1\r\n" + host + "A: b\rGET /y HTTP/1.1\r\n\r\n", nil},
 		{"bare CR in the path", "GET /x\r HTTP/1.1\r\n" + host + "\r\n", nil},
 		{"folded field", "GET /x HTTP/1.1\r\n" + host + "A: b\r\n c\r\n\r\n", nil},
@@ -203,7 +204,7 @@
 			ours, standard, gotOurs, gotStandard := servers(t)
 			a, b := exchange(t, ours, c.text, c.methods...), exchange(t, standard, c.text, c.methods...)
 			compare(t, a.responses, b.responses)
-			is.Equal(gotOurs.of(a.caller), gotStandard.of(b.caller))
+			is.Equal(gotOurs.requestsOf(a.caller), gotStandard.requestsOf(b.caller))
 		})
 	}
 }
@@ -223,9 +224,9 @@
 	}
 }
 
-// TestTwoLengthsAreRefused checks a difference from the server of net/http, which ignores
-// Content-Length if there is Transfer-Encoding too.
-func TestTwoLengthsAreRefused(t *testing.T) {
+// TestContentLengthWithTransferEncodingIsRefused checks a difference from the server of
+// net/http, which ignores Content-Length if there is Transfer-Encoding too.
+func TestContentLengthWithTransferEncodingIsRefused(t *testing.T) {
 	is := is.New(t)
 	ours, _, got, _ := servers(t)
 	for _, name := range []string{"Content-Length", "content-length", "CONTENT-LENGTH"} {
@@ -237,9 +238,9 @@
 	is.Equal(len(got.got), 0)
 }
 
-// TestEachHeadIsJudgedByItself sends requests over one connection, one by one and in a
-// single write. The Content-Length of one must not count for the next.
-func TestEachHeadIsJudgedByItself(t *testing.T) {
+// TestHeadsAreCheckedSeparately sends requests over one connection, one by one and in a
+// single write. The Content-Length of one request must not be taken for that of the next.
+func TestHeadsAreCheckedSeparately(t *testing.T) {
 	const (
 		chunked = "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
 		head    = "POST / HTTP/1.1\r\n" + host
@@ -265,7 +266,7 @@
 		}
 		c.expectClose()
 	})
-	t.Run("in one piece", func(t *testing.T) {
+	t.Run("in a single write", func(t *testing.T) {
 		is := is.New(t)
 		ours, _, got, _ := servers(t)
 		v := exchange(t, ours, strings.Join(requests, ""))
@@ -274,6 +275,6 @@
 			seen = append(seen, a.status)
 		}
 		is.Equal(seen, statuses)
-		is.Equal(len(got.of(v.caller)), 3) // nothing after the refused one
+		is.Equal(len(got.requestsOf(v.caller)), 3) // nothing after the refused one
 	})
 }
--- a/internal/connection/pooler/availability_test.go
+++ b/internal/connection/pooler/availability_test.go
@@ -42,10 +42,10 @@
 	}
 }
 
-// TestDarkPoolRefusesAtOnce checks that a pool whose only upstream refuses connections
-// does not queue requests: after the first failed dial they are refused until the
-// back-off ends, with the remaining back-off as the retry delay.
-func TestDarkPoolRefusesAtOnce(t *testing.T) {
+// TestRequestsAreRefusedWhileAllUpstreamsAreDown checks that a pool whose only upstream
+// refuses connections does not queue requests: after the first failed dial they are refused
+// until the back-off ends, with the remaining back-off as the retry delay.
+func TestRequestsAreRefusedWhileAllUpstreamsAreDown(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/connection/pooler/discard.go
+++ b/internal/connection/pooler/discard.go
@@ -22,7 +22,7 @@
 // discard reads and closes a response body that is not needed. The transport reuses a
 // connection only if the body was read to its end. If bodies are closed unread, 10
 // refusals take 10 dials and 5 probes take 5, instead of 1 each
-// (TestRefusalKeepsItsConnection, TestProbeKeepsItsConnection).
+// (TestRefusalsReuseOneConnection, TestProbesReuseOneConnection).
 func discard(r *http.Response) {
 	defer r.Body.Close()
 	if r.ContentLength < 0 || r.ContentLength > maxDiscardBytes {
--- a/internal/connection/pooler/discard_test.go
+++ b/internal/connection/pooler/discard_test.go
@@ -30,8 +30,8 @@
 	return s.Listener.Addr().String()
 }
 
-// TestRefusalKeepsItsConnection checks that refusals with a body take one connection.
-func TestRefusalKeepsItsConnection(t *testing.T) {
+// TestRefusalsReuseOneConnection checks that refusals with a body take one connection.
+func TestRefusalsReuseOneConnection(t *testing.T) {
 	is := is.New(t)
 	g := newGate(t, func(int64) bool { return true })
 	o := newGatedOwner(settings(1, 1, startWithBody(t, "all slots are in use\n")), g)
@@ -42,9 +42,9 @@
 	is.Equal(g.dials.Load(), int64(1))
 }
 
-// TestProbeKeepsItsConnection checks that probes with a body in the response take one
+// TestProbesReuseOneConnection checks that probes with a body in the response take one
 // connection.
-func TestProbeKeepsItsConnection(t *testing.T) {
+func TestProbesReuseOneConnection(t *testing.T) {
 	is := is.New(t)
 	g := newGate(t, func(int64) bool { return true })
 	c := &clock{}
@@ -68,7 +68,7 @@
 	for _, x := range []struct{ name, length string }{
 		{"never ends", ""},
 		{"is long", "100000"},
-		{"is announced and does not come", "5"},
+		{"never arrives", "5"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/connection/pooler/holdtime_test.go
+++ b/internal/connection/pooler/holdtime_test.go
@@ -12,10 +12,10 @@
 	"github.com/gullvale/gullvale/internal/request/exchanger"
 )
 
-// TestNoTimeIsRefusedAtOnce has one slot that is held for a second per request. While
-// it is busy, a request with too short a deadline is refused at once with a retry
-// delay, and one with a long deadline waits and is served.
-func TestNoTimeIsRefusedAtOnce(t *testing.T) {
+// TestRequestThatWouldMissItsDeadlineIsRefusedAtOnce has one slot that is held for a second
+// per request. While it is busy, a request with too short a deadline is refused at once with
+// a retry delay, and one with a long deadline waits and is served.
+func TestRequestThatWouldMissItsDeadlineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	address, entered, leave := startBlocking(t)
 	o, c := newOwner(settings(1, 10, address))
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestFailingUpstreamIsLeftAlone checks that a failing upstream is ejected, but never
-// more than a third of a pool, also if all of its upstreams fail.
-func TestFailingUpstreamIsLeftAlone(t *testing.T) {
+// TestFailingUpstreamIsEjected checks that a failing upstream is ejected, but never
+// more than a third of a pool, even if all of its upstreams fail.
+func TestFailingUpstreamIsEjected(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		bad   int
--- a/internal/connection/pooler/pool_test.go
+++ b/internal/connection/pooler/pool_test.go
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestRefusalsDidNotRun fills the only slot and the queue, and checks that refused,
+// TestRefusedRequestsDoNotRun fills the only slot and the queue, and checks that refused,
 // cancelled and expired requests do not run.
-func TestRefusalsDidNotRun(t *testing.T) {
+func TestRefusedRequestsDoNotRun(t *testing.T) {
 	is := is.New(t)
 	address, entered, leave := startBlocking(t)
 	o, c := newOwner(settings(1, 1, address))
@@ -166,9 +166,9 @@
 	is.Equal(len(entered), 0)
 }
 
-// TestReleaseStopsAtOnce releases and removes an upstream while a call runs. The call
-// completes, a later one is refused, and nothing new is sent.
-func TestReleaseStopsAtOnce(t *testing.T) {
+// TestReleasedUpstreamGetsNoNewRequests releases and removes an upstream while a call runs.
+// The call must complete, and a later one must be refused without being sent.
+func TestReleasedUpstreamGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
 	address, entered, leave := startBlocking(t)
 	o, _ := newOwner(settings(1, 5, address))
@@ -184,10 +184,10 @@
 	is.Equal(len(entered), 0)
 }
 
-// TestStaleConnectionTellsTheTruth has the upstream close idle connections, so that
-// requests are written to connections that are being closed. A request that ran must not
-// be reported as not run, and none may run twice.
-func TestStaleConnectionTellsTheTruth(t *testing.T) {
+// TestOutcomeIsCorrectOnClosingConnection has the upstream close connections after each
+// response, so that requests are written to connections that are being closed. A request
+// that ran must not be reported as not run, and none may run twice.
+func TestOutcomeIsCorrectOnClosingConnection(t *testing.T) {
 	is := is.New(t)
 	u := &server.Server{Slots: 5}
 	s := httptest.NewServer(u)
@@ -207,9 +207,9 @@
 	}
 }
 
-// TestDialFailureDidNotRun checks that a refused dial is reported as not run and starts
+// TestFailedDialIsReportedAsNotRun checks that a refused dial is reported as not run and starts
 // a back-off.
-func TestDialFailureDidNotRun(t *testing.T) {
+func TestFailedDialIsReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -220,14 +220,14 @@
 	is.Equal(r.Outcome, exchanger.NotRun)
 	is.Equal(r.Reason, exchanger.ReasonUpstreamUnreachable)
 	_, slots := o.Free(key)
-	is.Equal(slots, 0) // out of use until its back-off ends
+	is.Equal(slots, 0) // the upstream is in back-off
 	c.now.Add(1000)
 	_, slots = o.Free(key)
 	is.Equal(slots, 1)
 }
 
-// TestLapsedMemberSendsNothing checks that nothing is sent once Valid returns false.
-func TestLapsedMemberSendsNothing(t *testing.T) {
+// TestExpiredMemberSendsNothing checks that nothing is sent once Valid returns false.
+func TestExpiredMemberSendsNothing(t *testing.T) {
 	is := is.New(t)
 	s := &server.Server{Slots: 5}
 	o, _ := newOwner(settings(1, 5, startServer(t, s)))
--- a/internal/connection/pooler/slot_test.go
+++ b/internal/connection/pooler/slot_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestEveryEndGivesTheSlotBack checks that all slots are usable after calls ended in any
-// way that makes their connection unusable.
-func TestEveryEndGivesTheSlotBack(t *testing.T) {
+// TestSlotIsReleasedHoweverTheRequestEnds checks that all slots are usable after calls that
+// ended in one of the ways that make their connection unusable.
+func TestSlotIsReleasedHoweverTheRequestEnds(t *testing.T) {
 	const slots, calls = 2, 10
 	for _, x := range []struct {
 		name string
@@ -59,15 +59,15 @@
 		// cancel makes the caller cancel once the request is at the upstream.
 		cancel bool
 	}{
-		{name: "no answer", raw: " "},
+		{name: "no response", raw: " "},
 		{name: "not HTTP", raw: "hello\r\n\r\n"},
 		{name: "HTTP/1.0", raw: "HTTP/1.0 200 OK\r\n\r\nhello"},
 		{name: "close", raw: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi"},
 		{name: "short body", raw: "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi"},
 		{name: "broken chunk", raw: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"},
 		{name: "upgrade", raw: "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\nhello"},
-		{name: "caller takes nothing", refuse: true},
-		{name: "caller goes", cancel: true},
+		{name: "caller fails to write", refuse: true},
+		{name: "caller cancels", cancel: true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			entered, leave := make(chan struct{}, 10), make(chan struct{})
--- a/internal/connection/sender/send_test.go
+++ b/internal/connection/sender/send_test.go
@@ -38,16 +38,16 @@
 
 func (c conn) Read(b []byte) (int, error) { return c.reader.Read(b) }
 
-// startTestUpstream starts an upstream. It calls play with each connection and a function that
-// returns the head of the next request, or "" at the end of the connection.
-func startTestUpstream(t *testing.T, play func(c conn, next func() string)) *testUpstream {
+// startTestUpstream starts an upstream. It calls serve with each connection and a function
+// that returns the head of the next request, or "" at the end of the connection.
+func startTestUpstream(t *testing.T, serve func(c conn, next func() string)) *testUpstream {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
 	s := &testUpstream{heads: make(chan string, 100)}
-	go s.runAccept(l, play)
+	go s.runAccept(l, serve)
 	s.pool = &sender.Pool{
 		Address: l.Addr().String(),
 		Dial: func(ctx context.Context, a string) (net.Conn, error) {
@@ -57,20 +57,20 @@
 	return s
 }
 
-func (s *testUpstream) runAccept(l net.Listener, play func(conn, func() string)) {
+func (s *testUpstream) runAccept(l net.Listener, serve func(conn, func() string)) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go s.runConn(c, play)
+		go s.runConn(c, serve)
 	}
 }
 
-func (s *testUpstream) runConn(c net.Conn, play func(conn, func() string)) {
+func (s *testUpstream) runConn(c net.Conn, serve func(conn, func() string)) {
 	defer c.Close()
 	r := bufio.NewReader(c)
-	play(conn{c.(*net.TCPConn), r}, func() string {
+	serve(conn{c.(*net.TCPConn), r}, func() string {
 		var head strings.Builder
 		for {
 			line, err := r.ReadString('\n')
@@ -114,7 +114,7 @@
 	return string(b), err
 }
 
-func TestConnectionIsKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
 	s := startTestUpstream(t, func(c conn, next func() string) {
 		for i := 0; next() != ""; i++ {
@@ -130,7 +130,7 @@
 	is.Equal(<-s.heads, "GET /a?b=c HTTP/1.1\r\nHost: h.example\r\nX-Id: 0\r\n\r\n")
 }
 
-func TestAnswersAreNeverMixedUp(t *testing.T) {
+func TestResponsesAreMatchedToRequests(t *testing.T) {
 	tests := []struct {
 		name string
 		// first is the response to request 1, second that to request 2.
@@ -138,14 +138,14 @@
 		want          error
 		dials         uint64
 	}{
-		{"second answer to the first request", response("1", "one") + response("1", "again"), response("2", "two"), nil, 2},
-		{"late answer before the next", response("1", "one"), response("1", "again") + response("2", "two"), nil, 1},
-		{"answers to others only", response("1", "one"), response("1", "x") + response("1", "y") + response("1", "z"), sender.ErrMalformed, 1},
-		{"answer without an id", response("1", "one"), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo", sender.ErrMalformed, 1},
-		{"no answer in the protocol", response("1", "one"), "rubbish\r\n\r\n", sender.ErrLost, 1},
-		{"interim answer", response("1", "one"), "HTTP/1.1 102 Processing\r\n\r\n" + response("2", "two"), nil, 1},
-		{"change of protocol", response("1", "one"), "HTTP/1.1 101 Switching Protocols\r\n\r\n", sender.ErrMalformed, 1},
-		{"bytes behind the answer", response("1", "one") + "more", response("2", "two"), nil, 2},
+		{"second response to the first request", response("1", "one") + response("1", "again"), response("2", "two"), nil, 2},
+		{"late response before the next one", response("1", "one"), response("1", "again") + response("2", "two"), nil, 1},
+		{"only responses to another request", response("1", "one"), response("1", "x") + response("1", "y") + response("1", "z"), sender.ErrMalformed, 1},
+		{"response without an ID", response("1", "one"), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo", sender.ErrMalformed, 1},
+		{"not HTTP", response("1", "one"), "rubbish\r\n\r\n", sender.ErrLost, 1},
+		{"interim response", response("1", "one"), "HTTP/1.1 102 Processing\r\n\r\n" + response("2", "two"), nil, 1},
+		{"protocol switch", response("1", "one"), "HTTP/1.1 101 Switching Protocols\r\n\r\n", sender.ErrMalformed, 1},
+		{"bytes after the response", response("1", "one") + "more", response("2", "two"), nil, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -174,15 +174,15 @@
 	}
 }
 
-func TestBrokenAnswersAreNotWhole(t *testing.T) {
+func TestTruncatedResponseIsIncomplete(t *testing.T) {
 	tests := []struct {
 		name, text string
 		whole      bool
 	}{
-		{"length", "Content-Length: 10\r\n\r\nshort", false},
-		{"chunks", "Transfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", false},
-		{"whole chunks", "Transfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n0\r\n\r\n", true},
-		{"ended by the close", "\r\nshort", true},
+		{"shorter than Content-Length", "Content-Length: 10\r\n\r\nshort", false},
+		{"no last chunk", "Transfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n", false},
+		{"all chunks", "Transfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n0\r\n\r\n", true},
+		{"ended by closing the connection", "\r\nshort", true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestResetIsNoEnd(t *testing.T) {
+func TestResetIsNotEndOfBody(t *testing.T) {
 	is := is.New(t)
 	s := startTestUpstream(t, func(c conn, next func() string) {
 		next()
@@ -211,7 +211,7 @@
 	is.True(err != nil)
 }
 
-func TestOutcomes(t *testing.T) {
+func TestErrorsOfRequestsWithoutResponse(t *testing.T) {
 	is := is.New(t)
 	lost := startTestUpstream(t, func(_ conn, next func() string) { next() })
 	_, err := lost.get(request("1"))
@@ -239,32 +239,32 @@
 	is.True(errors.Is(err, sender.ErrWithdrawn))
 }
 
-// silentConn is a connection whose reads fail with ETIMEDOUT, as they do when the other
-// end does not acknowledge data in time.
-type silentConn struct{ net.Conn }
+// unacknowledgedConn is a connection whose reads fail with ETIMEDOUT, as they do when the
+// other end does not acknowledge data in time.
+type unacknowledgedConn struct{ net.Conn }
 
-func (silentConn) Read([]byte) (int, error) {
+func (unacknowledgedConn) Read([]byte) (int, error) {
 	return 0, &net.OpError{Op: "read", Err: syscall.ETIMEDOUT}
 }
 
-func TestSilentUpstreamIsToldFromASlowOne(t *testing.T) {
+func TestUnacknowledgedDataIsDistinguishedFromTimeout(t *testing.T) {
 	is := is.New(t)
 	s := startTestUpstream(t, func(_ conn, next func() string) { next() })
 	dial := s.pool.Dial
 	s.pool.Dial = func(ctx context.Context, a string) (net.Conn, error) {
 		c, err := dial(ctx, a)
-		return silentConn{c}, err
+		return unacknowledgedConn{c}, err
 	}
 	_, err := s.get(request("1"))
 	is.True(errors.Is(err, sender.ErrUnacknowledged))
 }
 
-func TestLeavingCallerEndsTheRequest(t *testing.T) {
+func TestCancelledContextClosesConnection(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan bool)
 	s := startTestUpstream(t, func(_ conn, next func() string) {
 		next()
-		// The connection must end without another request.
+		// The connection must be closed without another request.
 		ended <- next() == ""
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -277,9 +277,9 @@
 	is.True(<-ended)
 }
 
-// TestEarlyAnswerToALongBody has an upstream respond before it has read a long body. The
+// TestResponseBeforeEndOfRequestBody has an upstream respond before it has read a long body. The
 // rest of the body must not be sent, and the connection must not be reused.
-func TestEarlyAnswerToALongBody(t *testing.T) {
+func TestResponseBeforeEndOfRequestBody(t *testing.T) {
 	is := is.New(t)
 	s := startTestUpstream(t, func(c conn, next func() string) {
 		if next() != "" {
@@ -384,10 +384,10 @@
 	return n, err
 }
 
-// TestBodyIsCountedBeforeItsAnswer guards against a race between the goroutine that writes
-// a body and the reader of its response: if the body is counted after its write, the
+// TestBodyIsCountedBeforeItsResponseIsRead guards against a race between the goroutine that
+// writes a body and the reader of its response: if the body is counted after its write, the
 // response may be read first, and the 36 bytes of the body are missing from the count.
-func TestBodyIsCountedBeforeItsAnswer(t *testing.T) {
+func TestBodyIsCountedBeforeItsResponseIsRead(t *testing.T) {
 	is := is.New(t)
 	const body = "a body that is sent while it arrives"
 	s := startTestUpstream(t, func(c conn, next func() string) {
