--- a/pkg/finder/finder_test.go
+++ b/pkg/finder/finder_test.go
@@ -84,10 +84,10 @@
 	x.keys = append(x.keys, key)
 }
 
-// TestDoubtStays guards against a request that runs twice under different keys: its
-// first entry closes the connection without a response, and the second is unreachable.
-// The outcome must stay unknown, but a request with an idempotent method is answered
-// by the third.
+// TestDoubtStays guards against a request that runs twice under different keys. The first
+// entry runs it and closes the connection without a response, and the second is
+// unreachable. The outcome must stay unknown, except that a request with an idempotent
+// method is answered by the third entry.
 func TestDoubtStays(t *testing.T) {
 	for _, c := range []struct {
 		method  string
--- a/pkg/finder/redirect_test.go
+++ b/pkg/finder/redirect_test.go
@@ -12,9 +12,10 @@
 	"github.com/gullvale/gullvale/pkg/finder"
 )
 
-// TestRedirectIsTheAnswer guards against a request that runs several times because its
-// upstream responds with a redirect to an unreachable address.
-func TestRedirectIsTheAnswer(t *testing.T) {
+// TestRedirectIsNotFollowed guards against a request that runs several times because the
+// upstream responds with a redirect to an unreachable address, and the failed dial there is
+// taken for a request that did not run.
+func TestRedirectIsNotFollowed(t *testing.T) {
 	for _, status := range []int{http.StatusMovedPermanently, http.StatusFound, http.StatusSeeOther, http.StatusTemporaryRedirect, http.StatusPermanentRedirect} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
 			is := is.New(t)
--- a/pkg/finder/retry_test.go
+++ b/pkg/finder/retry_test.go
@@ -76,10 +76,10 @@
 	_ = p.Write(c)
 }
 
-// TestHiddenRepeatLeavesDoubt guards against a request reported as not run although it ran:
-// the entry terminates after it ran the request, the transport retries on its own, and the
-// new connection is refused.
-func TestHiddenRepeatLeavesDoubt(t *testing.T) {
+// TestTransportRetryLeavesOutcomeUnknown guards against a request reported as not run
+// although it ran: the entry terminates while it runs the request, the transport retries on
+// its own, and the new connection is refused.
+func TestTransportRetryLeavesOutcomeUnknown(t *testing.T) {
 	is := is.New(t)
 	d := startCrashingEntry(t)
 	f := &finder.Finder{Seeds: []string{d.listener.Addr().String()}, HTTP: &http.Client{Transport: &http.Transport{}}}
@@ -94,9 +94,10 @@
 	is.Equal(p.Outcome, finder.Unknown)
 }
 
-// TestTransportRepeatsNothing guards against the transport's own retries of a request that
-// must not run twice. The transport regards any method with these headers as idempotent.
-func TestTransportRepeatsNothing(t *testing.T) {
+// TestTransportDoesNotRetry guards against the transport's own retries of a request that
+// must not run twice. The transport treats a request with one of these headers as
+// idempotent, whatever its method.
+func TestTransportDoesNotRetry(t *testing.T) {
 	for _, field := range []string{"Idempotency-Key", "X-Idempotency-Key"} {
 		t.Run(field, func(t *testing.T) {
 			is := is.New(t)
--- a/pkg/finder/timeout_test.go
+++ b/pkg/finder/timeout_test.go
@@ -14,9 +14,9 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// TestSilentEntryEndsAtDeadline guards against a caller that waits forever for an entry
+// TestUnresponsiveEntryTimesOut guards against a caller that waits forever for an entry
 // that accepts requests and never responds, such as a stopped process.
-func TestSilentEntryEndsAtDeadline(t *testing.T) {
+func TestUnresponsiveEntryTimesOut(t *testing.T) {
 	is := is.New(t)
 	const deadline = 100 * timekeeper.Millis(1)
 	var address string
--- a/pkg/finder/trace_test.go
+++ b/pkg/finder/trace_test.go
@@ -34,9 +34,9 @@
 	return w.Result(), nil
 }
 
-// TestSilentTransportLeavesDoubt guards against a request that runs under several keys
-// because the transport of the embedding program does not support httptrace.
-func TestSilentTransportLeavesDoubt(t *testing.T) {
+// TestTransportWithoutTraceLeavesOutcomeUnknown guards against a request that runs under
+// several keys because the transport set by the caller does not support httptrace.
+func TestTransportWithoutTraceLeavesOutcomeUnknown(t *testing.T) {
 	is := is.New(t)
 	x := &untracedTransport{entry: finder.Entry{Address: deadAddress, Incarnation: "00000000000000aa"}}
 	f := &finder.Finder{Seeds: []string{deadAddress}, HTTP: &http.Client{Transport: x}}
--- a/pkg/leaser/lease_test.go
+++ b/pkg/leaser/lease_test.go
@@ -74,12 +74,12 @@
 	is.True(ok && !held(x))
 	is.True(f2 > f1)
 
-	// x resumes and cannot renew.
+	// x resumes and fails to renew the lease.
 	x.Step(ctx)
 	is.True(!held(x) && held(y))
 }
 
-func TestRenewalKeepsOthersOut(t *testing.T) {
+func TestRenewedLeaseIsNotTakenOver(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	b := newFixture(t)
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestLostAnswers(t *testing.T) {
+func TestLeaseIsHeldAfterLostResponses(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	b := newFixture(t)
@@ -109,7 +109,7 @@
 	is.True(!held(x))
 }
 
-func TestOutageEndsTheTerm(t *testing.T) {
+func TestLeaseExpiresDuringOutage(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	b := newFixture(t)
@@ -178,7 +178,7 @@
 	})
 }
 
-func TestReleaseFreesAtOnce(t *testing.T) {
+func TestReleasedLeaseIsAvailableAtOnce(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	b := newFixture(t)
@@ -191,10 +191,10 @@
 	is.True(held(y))
 }
 
-// TestObservedLeaseKeepsItsFence guards against a reused fence: a follower that knows
-// the holder's writes only from Observe, and reads the lease after it has expired,
+// TestObservedLeaseIsAcquiredWithNewFence guards against a reused fence: a follower that
+// knows the holder's writes only from Observe, and reads the lease after it has expired,
 // must acquire it with a new fence.
-func TestObservedLeaseKeepsItsFence(t *testing.T) {
+func TestObservedLeaseIsAcquiredWithNewFence(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	b := newFixture(t)
--- a/pkg/packer/pack_test.go
+++ b/pkg/packer/pack_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestUnpackRefuses(t *testing.T) {
+func TestUnpackRejectsInvalidBodies(t *testing.T) {
 	is := is.New(t)
 	var bomb bytes.Buffer
 	w := gzip.NewWriter(&bomb)
--- a/pkg/recorder/log_test.go
+++ b/pkg/recorder/log_test.go
@@ -31,9 +31,9 @@
 
 func acceptAll(recorder.Change) error { return nil }
 
-// TestRacingWritersKeepOrder runs concurrent writers that accept all earlier changes.
-// No number may be skipped or used twice.
-func TestRacingWritersKeepOrder(t *testing.T) {
+// TestConcurrentAppendsGetConsecutiveNumbers runs concurrent writers that accept all earlier
+// changes. No number may be skipped or used twice.
+func TestConcurrentAppendsGetConsecutiveNumbers(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	l, p := newLog(t)
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestConflictNamesTheOther(t *testing.T) {
+func TestConflictErrorHoldsEarlierChange(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	l, _ := newLog(t)
@@ -77,9 +77,9 @@
 	is.Equal(conflict.Theirs.ID, recorder.ChangeID("first"))
 }
 
-// TestSameIDIsOneChange guards against a change that is recorded twice because its
+// TestChangeWithSameIDIsRecordedOnce guards against a change that is recorded twice because its
 // author retried it after a lost response.
-func TestSameIDIsOneChange(t *testing.T) {
+func TestChangeWithSameIDIsRecordedOnce(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	l, _ := newLog(t)
@@ -90,10 +90,9 @@
 	is.Equal(a.Number, b.Number)
 }
 
-// TestUnknownStaysUnknown checks the error of an append that times out: the change was
-// not made if the platform was down, and the result is unknown if a write may have
-// arrived.
-func TestUnknownStaysUnknown(t *testing.T) {
+// TestErrorOfTimedOutAppend checks the error of an append that times out. It must be
+// ErrUnreachable if the platform was down, and ErrUnknown if a write may have arrived.
+func TestErrorOfTimedOutAppend(t *testing.T) {
 	is := is.New(t)
 	l, p := newLog(t)
 	p.SetFaults(platform.Faults{Down: true})
@@ -110,7 +109,7 @@
 	is.True(errors.Is(err, storer.ErrUnknown))
 }
 
-func TestSnapshotNeverGoesBack(t *testing.T) {
+func TestOlderSnapshotIsNotSaved(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	l, _ := newLog(t)
--- a/pkg/registrar/roster_test.go
+++ b/pkg/registrar/roster_test.go
@@ -20,9 +20,9 @@
 	// Output: i1
 }
 
-// TestOnlyTheLostMove removes one of five members. Only the upstreams that it owned
-// may change their owner.
-func TestOnlyTheLostMove(t *testing.T) {
+// TestOnlyUpstreamsOfRemovedMemberChangeOwner removes one of five members. Only the
+// upstreams that it owned may change their owner.
+func TestOnlyUpstreamsOfRemovedMemberChangeOwner(t *testing.T) {
 	is := is.New(t)
 	r := registrar.Roster{Region: "erie"}
 	for i := range 5 {
--- a/pkg/sharer/split_test.go
+++ b/pkg/sharer/split_test.go
@@ -20,7 +20,7 @@
 	return sharer.Proportional(w)
 }
 
-func TestDivisionsStayWhole(t *testing.T) {
+func TestTowardKeepsTotalAndLimitsStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawSplit(t, "a"), drawSplit(t, "b")
 		step := sharer.Share(rapid.IntRange(1, int(sharer.Whole)).Draw(t, "step"))
@@ -42,10 +42,10 @@
 	})
 }
 
-// TestMovesOnlyWhatMoves moves a share from one site to another and back. Keys of
-// other sites must stay, except for the few affected by the changed weights, and all
-// keys must return.
-func TestMovesOnlyWhatMoves(t *testing.T) {
+// TestKeysMoveOnlyBetweenChangedSites moves a share from one site to another. Keys of the
+// third site must stay, except for the few affected by the changed weights, and the site of
+// a key must depend only on the split.
+func TestKeysMoveOnlyBetweenChangedSites(t *testing.T) {
 	is := is.New(t)
 	const keys = 100000
 	before := sharer.Split{{Site: "a", Share: sharer.Whole / 2}, {Site: "b", Share: sharer.Whole / 4}, {Site: "c", Share: sharer.Whole / 4}}
--- a/pkg/storer/client_test.go
+++ b/pkg/storer/client_test.go
@@ -41,8 +41,8 @@
 	return response, err
 }
 
-// TestSlowAnswerIsReadWhole guards against a timeout during a response that takes four
-// times as long as it has to begin.
+// TestSlowAnswerIsReadWhole guards against a timeout during a response that begins in time
+// and takes four times the timeout to arrive.
 func TestSlowAnswerIsReadWhole(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -59,8 +59,8 @@
 	is.Equal(len(response), chunks*chunk)
 }
 
-// TestSlowBodyIsSentWhole guards against a timeout during a request body that takes longer
-// to send than the response has to begin.
+// TestSlowBodyIsSentWhole guards against a timeout while a request body is sent that takes
+// longer to send than the timeout for the response to begin.
 func TestSlowBodyIsSentWhole(t *testing.T) {
 	is := is.New(t)
 	const length = 8 << 20
@@ -90,15 +90,15 @@
 	is.NoErr(err)
 }
 
-// TestSilenceEndsACall checks that a call times out if its response never begins or
+// TestCallWithoutProgressTimesOut checks that a call times out if its response never begins or
 // stops midway.
-func TestSilenceEndsACall(t *testing.T) {
+func TestCallWithoutProgressTimesOut(t *testing.T) {
 	tests := []struct {
 		name string
 		send int
 	}{
-		{"no answer", 0},
-		{"half an answer", chunk},
+		{"no response", 0},
+		{"part of a response", chunk},
 	}
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
@@ -129,8 +129,9 @@
 	}
 }
 
-// TestTrickleEnds checks that a response that arrives slowly and never ends is aborted.
-func TestTrickleEnds(t *testing.T) {
+// TestTransferTimeIsLimited checks that a response that arrives slowly and never ends is
+// aborted after MaxTransferTime.
+func TestTransferTimeIsLimited(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil {
--- a/pkg/storer/outcome_test.go
+++ b/pkg/storer/outcome_test.go
@@ -14,9 +14,10 @@
 // deadAddress refuses connections, since no process listens on port 1.
 const deadAddress = "http://127.0.0.1:1"
 
-// TestRefusedRedirectLeavesDoubt guards against a write that is reported as not arrived,
-// although the platform received it, because the target of its redirect is unreachable.
-func TestRefusedRedirectLeavesDoubt(t *testing.T) {
+// TestUnreachableRedirectTargetLeavesResultUnknown guards against a write that is reported
+// as not arrived although the platform received it and responded with a redirect to an
+// unreachable address.
+func TestUnreachableRedirectTargetLeavesResultUnknown(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(http.RedirectHandler(deadAddress, http.StatusSeeOther))
 	defer s.Close()
@@ -24,9 +25,9 @@
 	is.True(errors.Is(err, storer.ErrUnknown))
 }
 
-// TestUnreachedWriteDidNotArrive guards against an unknown result for a write that could
-// not connect.
-func TestUnreachedWriteDidNotArrive(t *testing.T) {
+// TestFailedDialReturnsDialError guards against an unknown result of a write for which no
+// connection could be opened.
+func TestFailedDialReturnsDialError(t *testing.T) {
 	is := is.New(t)
 	_, err := call(t, http.MethodPut, deadAddress, []byte("x"))
 	var dial *storer.DialError
