--- a/internal/connection/linker/call.go
+++ b/internal/connection/linker/call.go
@@ -22,8 +22,6 @@
 // outboundCall is a request sent over a link. A response that fits into one chunk is
 // buffered until it is complete. If the link is lost in the middle of it, an idempotent
 // request can then be retried, where the caller would otherwise get a truncated response.
-// (Without buffering, 6 of 47 runs that cut links at 100 requests a second had 1 to 3
-// truncated responses each.)
 type outboundCall struct {
 	call            *exchanger.Call
 	peer            *Peer
--- a/internal/connection/linker/inbound.go
+++ b/internal/connection/linker/inbound.go
@@ -3,9 +3,9 @@
 import "context"
 
 // addInbound lets the peer use a link that the member dialled, until that link closes.
-// This covers paths on which only one side can connect. Without it, an entry whose dials
-// to the only owner of a service were refused served none of 5,700 requests in a minute,
-// although the link that the owner had dialled was up.
+// This covers paths on which only one side can connect. Without it, an entry that cannot
+// dial the only owner of a service fails all requests for that service, although the link
+// that the owner dialled is up.
 func (p *Peer) addInbound(ctx context.Context, s *Session) {
 	go p.runInbound(ctx, s)
 }
--- a/internal/connection/linker/ping.go
+++ b/internal/connection/linker/ping.go
@@ -36,8 +36,8 @@
 
 // responsive reports whether the remote end has replied since the pending ping was sent,
 // or pingTimeout has not passed yet. Unsolicited frames do not count: they still arrive
-// over a link that drops the other direction, and an entry that counted them sent 200
-// requests in four seconds over such a link and lost them all.
+// over a link that drops everything sent from here, and an entry that counted them would
+// keep sending requests over such a link and lose them all.
 func (s *Session) responsive(now timekeeper.Millis) bool {
 	pingSent := timekeeper.Millis(s.pingSent.Load())
 	return pingSent == 0 || s.lastReplyTime() > pingSent || now-pingSent < pingTimeout
--- a/internal/connection/pipeliner/benchmark_test.go
+++ b/internal/connection/pipeliner/benchmark_test.go
@@ -12,10 +12,8 @@
 	"github.com/gullvale/gullvale/internal/connection/pipeliner"
 )
 
-// BenchmarkRequest compares the CPU time and memory per request with those of the server of
-// net/http, one request at a time and with eight pipelined. Both include the caller. The
-// server of net/http and this one take 27 to 30 and 32 µs per request, with eight pipelined
-// 17 to 19 and 12 to 13 µs; 3.1 and 4.1 KB, with eight pipelined 4.8 KB.
+// BenchmarkRequest compares the time and memory per request with those of the server of
+// net/http, one request at a time and with eight pipelined. Both include the caller.
 func BenchmarkRequest(b *testing.B) {
 	body := strings.Repeat("x", 1000)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -30,7 +28,7 @@
 	}{{"Pipeliner", ours.Serve}, {"Standard", standard.Serve}} {
 		address := listen(b, s.serve)
 		for _, pipelined := range []int{1, 8} {
-			b.Run(fmt.Sprintf("%s/Ahead=%d", s.name, pipelined), func(b *testing.B) { benchmarkRequests(b, address, pipelined) })
+			b.Run(fmt.Sprintf("%s/Pipelined=%d", s.name, pipelined), func(b *testing.B) { benchmarkRequests(b, address, pipelined) })
 		}
 	}
 }
--- a/internal/connection/pipeliner/server.go
+++ b/internal/connection/pipeliner/server.go
@@ -23,9 +23,9 @@
 	maxPipelined = 16
 
 	// maxPipelinedTotal is how many requests of all connections are handled while an
-	// earlier one of their connection is. Each takes 2.3 KB here (with 16 on each of 100
-	// connections and waiting handlers) and 6 KB of buffers to be forwarded: 17 MB in
-	// total, a tenth of the smallest VM's memory.
+	// earlier request of their connection is still being handled. Each takes 2.3 KB here
+	// and 6 KB of buffers to be forwarded: 17 MB in total, a tenth of the smallest VM's
+	// memory.
 	maxPipelinedTotal = 2048
 
 	// minAcceptDelay is the delay after a failed accept, such as when the process is out
--- a/internal/connection/pooler/benchmark_test.go
+++ b/internal/connection/pooler/benchmark_test.go
@@ -14,9 +14,7 @@
 )
 
 // BenchmarkRun keeps every slot of an upstream busy, with as many calls in the queue, and
-// reports the number of dials. Medians of 5 runs of 20,000 calls, without a limit on
-// connections -> with it: 3 slots 38 -> 35 us per call, 3 -> 3 dials; 12 slots 23 -> 21
-// us, 12 to 16 -> 12 to 13 dials; 48 slots 15 -> 14 us, 48 to 62 -> 48 to 49 dials.
+// reports the number of dials.
 func BenchmarkRun(b *testing.B) {
 	for _, slots := range []int{3, 12, 48} {
 		b.Run(fmt.Sprint("slots=", slots), func(b *testing.B) { benchmarkRun(b, slots) })
--- a/internal/connection/pooler/discard.go
+++ b/internal/connection/pooler/discard.go
@@ -20,9 +20,9 @@
 )
 
 // discard reads and closes a response body that is not needed. The transport reuses a
-// connection only if the body was read to its end. If bodies are closed unread, 10
-// refusals take 10 dials and 5 probes take 5, instead of 1 each
-// (TestRefusalsReuseOneConnection, TestProbesReuseOneConnection).
+// connection only if the body was read to its end. If bodies were closed unread, every
+// refusal and every probe would take a new connection (TestRefusalsReuseOneConnection,
+// TestProbesReuseOneConnection).
 func discard(r *http.Response) {
 	defer r.Body.Close()
 	if r.ContentLength < 0 || r.ContentLength > maxDiscardBytes {
--- a/internal/connection/pooler/transport.go
+++ b/internal/connection/pooler/transport.go
@@ -74,9 +74,9 @@
 }
 
 // newRequestTransport returns the transport for the requests to an upstream. Its limit
-// on connections includes pending dials, also those whose request got another connection
-// first. Without the limit, 11 of 300 runs of TestSlotsAreExact beside six busy processes
-// opened more than 4 connections to an upstream with 3 slots; with it, 0 of 300 did.
+// on connections includes pending dials, even those whose request got another connection
+// first. Without the limit, such dials can open more than slots+spareConns connections
+// (TestSlotsAreExact).
 func newRequestTransport(slots int, dial dialer) *http.Transport {
 	t := newTransport(slots+spareConns, dial)
 	t.MaxConnsPerHost = slots + spareConns
--- a/pkg/hasher/rendezvous.go
+++ b/pkg/hasher/rendezvous.go
@@ -57,9 +57,8 @@
 // inverse is the reciprocal of the node's weight. The node with the smallest
 // distance is chosen, with a probability proportional to its weight.
 //
-// The distance is -log2(u)*inverse for a hash u between 0 and 1. The table lookup
-// takes a third of the time of math.Log and, unlike it, gives the same bits on
-// every processor.
+// The distance is -log2(u)*inverse for a hash u between 0 and 1. The table lookup is
+// faster than math.Log and, unlike it, gives the same bits on every processor.
 func Distance(key, node Hash, inverse float64) float64 {
 	h := uint64(Mix(key, node)) | 1
 	zeros := bits.LeadingZeros64(h)
--- a/pkg/storer/progress.go
+++ b/pkg/storer/progress.go
@@ -12,8 +12,8 @@
 
 const (
 	// defaultIdleTimeout bounds the pauses within a response or a request body. It allows
-	// for several retransmissions on a lossy path. It does not bound the whole transfer,
-	// since then anything longer than limit times bandwidth could never be read: with
+	// for several retransmissions on a lossy path. The whole transfer is not bounded in
+	// this way, since a response too long for the bandwidth could then never be read: with
 	// 600 ms for a whole response, VMs with 10 Mbit/s never received a configuration of
 	// 1 MB (TestLargeConfigurationOverNarrowLinks).
 	defaultIdleTimeout = 1 * timekeeper.Second
