--- a/internal/connection/pooler/benchmark_test.go
+++ b/internal/connection/pooler/benchmark_test.go
@@ -26,8 +26,8 @@
 		_, _ = io.WriteString(w, "hello")
 	}))
 	defer s.Close()
-	g := &gate{passes: func(int64) bool { return true }}
-	o := newGatedOwner(settings(slots, slots, s.Listener.Addr().String()), g)
+	d := &testDialer{connects: func(int64) bool { return true }}
+	o := newOwnerWithDialer(settings(slots, slots, s.Listener.Addr().String()), d)
 	b.ReportAllocs()
 	b.ResetTimer()
 	var remaining atomic.Int64
@@ -44,5 +44,5 @@
 		})
 	}
 	done.Wait()
-	b.ReportMetric(float64(g.dials.Load()), "dials")
+	b.ReportMetric(float64(d.dials.Load()), "dials")
 }
--- a/internal/connection/pooler/dial_test.go
+++ b/internal/connection/pooler/dial_test.go
@@ -18,26 +18,26 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// gate is a dialer whose dials hang until it is opened, except those for which passes
-// returns true.
-type gate struct {
-	dials  atomic.Int64
-	passes func(nth int64) bool
-	open   chan struct{}
+// testDialer is a dialer that counts its dials. The nth dial connects if connects returns
+// true for n, and otherwise hangs until unblock is closed.
+type testDialer struct {
+	dials    atomic.Int64
+	connects func(nth int64) bool
+	unblock  chan struct{}
 }
 
-// newGate returns a gate that opens at the end of the test.
-func newGate(t *testing.T, passes func(nth int64) bool) *gate {
+// newTestDialer returns a testDialer whose hanging dials end with the test.
+func newTestDialer(t *testing.T, connects func(nth int64) bool) *testDialer {
 	t.Helper()
-	g := &gate{passes: passes, open: make(chan struct{})}
-	t.Cleanup(func() { close(g.open) })
-	return g
+	d := &testDialer{connects: connects, unblock: make(chan struct{})}
+	t.Cleanup(func() { close(d.unblock) })
+	return d
 }
 
-func (g *gate) dial(ctx context.Context, address string) (net.Conn, error) {
-	if !g.passes(g.dials.Add(1)) {
+func (d *testDialer) dial(ctx context.Context, address string) (net.Conn, error) {
+	if !d.connects(d.dials.Add(1)) {
 		select {
-		case <-g.open:
+		case <-d.unblock:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -45,10 +45,10 @@
 	return new(net.Dialer).DialContext(ctx, "tcp", address)
 }
 
-// newGatedOwner is newOwner with connections that are dialled through a gate.
-func newGatedOwner(s *resolver.Service, g *gate) *pooler.Owner {
+// newOwnerWithDialer is like newOwner, but connects to the upstreams with d.
+func newOwnerWithDialer(s *resolver.Service, d *testDialer) *pooler.Owner {
 	c := &clock{}
-	o := &pooler.Owner{Clock: timekeeper.Clock{Monotonic: c.reading}, Dial: g.dial}
+	o := &pooler.Owner{Clock: timekeeper.Clock{Monotonic: c.reading}, Dial: d.dial}
 	ownUpstreams(o, c, s)
 	return o
 }
@@ -70,14 +70,14 @@
 }
 
 // TestOvertakenDialsAreCounted checks that pending dials count as connections. Only the
-// first dial succeeds, so each call gets its connection before its own dial ends. Further
+// first dial succeeds, and each call gets that connection before its own dial ends. Further
 // calls must not start dials beyond the number of slots and one spare.
 func TestOvertakenDialsAreCounted(t *testing.T) {
 	is := is.New(t)
 	const slots = 3
 	address, entered, leave := startBlocking(t)
-	g := newGate(t, func(nth int64) bool { return nth == 1 })
-	o := newGatedOwner(settings(slots, 10, address), g)
+	d := newTestDialer(t, func(nth int64) bool { return nth == 1 })
+	o := newOwnerWithDialer(settings(slots, 10, address), d)
 	for range 10 {
 		results := start(context.Background(), o, slots)
 		awaitBusy(o, slots)
@@ -89,23 +89,23 @@
 			is.Equal((<-results).Outcome, exchanger.Answered)
 		}
 	}
-	dials := g.dials.Load()
+	dials := d.dials.Load()
 	t.Log("dials:", dials)
 	is.True(dials <= slots+1)
 }
 
 // TestHungDialHoldsNoSlot checks that all slots remain usable while the dial of a call
-// hangs that was served over another connection.
+// hangs, after the call itself was served over another connection.
 func TestHungDialHoldsNoSlot(t *testing.T) {
 	is := is.New(t)
 	const slots = 2
 	address, entered, leave := startBlocking(t)
-	g := newGate(t, func(nth int64) bool { return nth != 2 })
-	o := newGatedOwner(settings(slots, 10, address), g)
+	d := newTestDialer(t, func(nth int64) bool { return nth != 2 })
+	o := newOwnerWithDialer(settings(slots, 10, address), d)
 	first := start(context.Background(), o, 1)
 	<-entered
 	second := start(context.Background(), o, 1)
-	for g.dials.Load() != 2 {
+	for d.dials.Load() != 2 {
 		runtime.Gosched()
 	}
 	leave <- struct{}{}
@@ -122,12 +122,12 @@
 	is := is.New(t)
 	const slots, cancelled = 2, 10
 	address, entered, leave := startBlocking(t)
-	g := newGate(t, func(nth int64) bool { return nth > cancelled })
-	o := newGatedOwner(settings(slots, 10, address), g)
+	d := newTestDialer(t, func(nth int64) bool { return nth > cancelled })
+	o := newOwnerWithDialer(settings(slots, 10, address), d)
 	for i := range int64(cancelled) {
 		ctx, cancel := context.WithCancel(context.Background())
 		results := start(ctx, o, 1)
-		for g.dials.Load() != i+1 {
+		for d.dials.Load() != i+1 {
 			runtime.Gosched()
 		}
 		cancel()
@@ -150,14 +150,14 @@
 		<-leave
 	}))
 	t.Cleanup(s.Close)
-	g := newGate(t, func(nth int64) bool { return nth != 2 })
-	o := newGatedOwner(settings(slots, 10, s.Listener.Addr().String()), g)
+	d := newTestDialer(t, func(nth int64) bool { return nth != 2 })
+	o := newOwnerWithDialer(settings(slots, 10, s.Listener.Addr().String()), d)
 	probed := make(chan bool, 10)
 	o.Probed = func(_ pooler.Key, _ string, ok bool) { probed <- ok }
 	first := start(context.Background(), o, 1)
 	<-entered
 	second := start(context.Background(), o, 1)
-	for g.dials.Load() != 2 {
+	for d.dials.Load() != 2 {
 		runtime.Gosched()
 	}
 	leave <- struct{}{}
--- a/internal/connection/pooler/discard_test.go
+++ b/internal/connection/pooler/discard_test.go
@@ -15,7 +15,7 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// startWithBody starts an upstream that refuses every request and passes every probe,
+// startWithBody starts an upstream that refuses every request and connects every probe,
 // with the given body in each response.
 func startWithBody(t *testing.T, body string) string {
 	t.Helper()
@@ -33,22 +33,22 @@
 // TestRefusalsReuseOneConnection checks that refusals with a body take one connection.
 func TestRefusalsReuseOneConnection(t *testing.T) {
 	is := is.New(t)
-	g := newGate(t, func(int64) bool { return true })
-	o := newGatedOwner(settings(1, 1, startWithBody(t, "all slots are in use\n")), g)
+	d := newTestDialer(t, func(int64) bool { return true })
+	o := newOwnerWithDialer(settings(1, 1, startWithBody(t, "all slots are in use\n")), d)
 	for range 10 {
 		r := o.Run(context.Background(), call("x", nil, io.Discard))
 		is.Equal(r.Reason, exchanger.ReasonUpstreamRefused)
 	}
-	is.Equal(g.dials.Load(), int64(1))
+	is.Equal(d.dials.Load(), int64(1))
 }
 
 // TestProbesReuseOneConnection checks that probes with a body in the response take one
 // connection.
 func TestProbesReuseOneConnection(t *testing.T) {
 	is := is.New(t)
-	g := newGate(t, func(int64) bool { return true })
+	d := newTestDialer(t, func(int64) bool { return true })
 	c := &clock{}
-	o := &pooler.Owner{Clock: timekeeper.Clock{Monotonic: c.reading}, Dial: g.dial}
+	o := &pooler.Owner{Clock: timekeeper.Clock{Monotonic: c.reading}, Dial: d.dial}
 	probed := make(chan bool, 10)
 	o.Probed = func(_ pooler.Key, _ string, ok bool) { probed <- ok }
 	ownUpstreams(o, c, settings(1, 1, startWithBody(t, "healthy\n")))
@@ -59,7 +59,7 @@
 		is.True(<-probed)
 		c.now.Add(int64(timekeeper.Hour))
 	}
-	is.Equal(g.dials.Load(), int64(1))
+	is.Equal(d.dials.Load(), int64(1))
 }
 
 // TestRefusalDoesNotWaitForItsBody checks that a refusal is returned although its body
