--- a/internal/connection/linker/announce.go
+++ b/internal/connection/linker/announce.go
@@ -25,8 +25,8 @@
 	minChangeDivisor = 8
 )
 
-// AnnounceFreeSlots sends the free slots of a pool to the daemons that hand requests to it and
-// whose last known value is outdated: the daemons of its site, and others that sent
+// AnnounceFreeSlots sends the free slots of a pool to the daemons that send requests to it
+// and whose last known value is outdated: the daemons of its site, and others that sent
 // requests within announceWindow. It reports false if the rate limit was reached before
 // all were notified; the caller must then call it again later.
 func (m *Manager) AnnounceFreeSlots(k pooler.Key, free, slots int) bool {
--- a/internal/connection/linker/inbound.go
+++ b/internal/connection/linker/inbound.go
@@ -25,10 +25,10 @@
 // current returns the session to use, nil for none. It prefers the session dialled here
 // unless only the inbound one is responsive.
 func (p *Peer) current() *Session {
-	own, inbound := p.dialled.Load(), p.inbound.Load()
+	dialled, inbound := p.dialled.Load(), p.inbound.Load()
 	now := p.manager.Clock.Now()
-	if own == nil || inbound != nil && !own.responsive(now) && inbound.responsive(now) {
+	if dialled == nil || inbound != nil && !dialled.responsive(now) && inbound.responsive(now) {
 		return inbound
 	}
-	return own
+	return dialled
 }
--- a/internal/connection/linker/peer.go
+++ b/internal/connection/linker/peer.go
@@ -130,7 +130,8 @@
 		return false
 	}
 	if s.remote.Incarnation != p.member.Incarnation {
-		// Another incarnation listens there. The roster will name it.
+		// Another incarnation listens at the address. It gets its own peer once the
+		// roster lists it.
 		s.Close()
 		p.terminated.Store(true)
 		return false
--- a/internal/connection/linker/serve.go
+++ b/internal/connection/linker/serve.go
@@ -152,8 +152,8 @@
 	if in.body == nil {
 		return
 	}
-	// An error means that the body is no longer read. The stream still is, to detect
-	// when it closes.
+	// An error means that nothing reads the body any more. The stream is still read, to
+	// detect when it closes.
 	_, _ = in.body.Write(p)
 }
 
--- a/internal/connection/pacer/pace.go
+++ b/internal/connection/pacer/pace.go
@@ -18,8 +18,8 @@
 	// progress even if its share of a link is tiny.
 	minBytesPerSecond = 32 << 10
 
-	// burstBytes is how much may be sent at once. A smaller burst would not help: what
-	// yamux sends before it needs an acknowledgement fills a slow link anyway.
+	// burstBytes is how much may be sent at once. A smaller burst would not help, since
+	// the data that yamux sends without waiting for the receiver fills a slow link anyway.
 	burstBytes = 64 << 10
 )
 
--- a/internal/connection/pipeliner/conn.go
+++ b/internal/connection/pipeliner/conn.go
@@ -52,8 +52,8 @@
 type (
 	phase int
 
-	// conn is a connection of a caller. Its own goroutine reads requests. The first
-	// response of pending owns the writer.
+	// conn is a connection of a caller. A goroutine of its own reads requests. Only the
+	// first response of pending may use the writer.
 	conn struct {
 		net.Conn
 		server *Server
--- a/internal/connection/pipeliner/doc.go
+++ b/internal/connection/pipeliner/doc.go
@@ -4,7 +4,7 @@
 // it starts after all earlier responses are written, and later requests wait for it.
 //
 // Heads and bodies are parsed by net/http. There are two differences from its server.
-// A connection is always being read, so that a caller that disconnects is noticed
-// however much it has sent. And a response closes its connection only if no later
-// request was started.
+// While requests are handled, the server reads ahead up to the size of its read buffer,
+// so that it notices a caller that disconnects after it has sent further requests. And a
+// response closes its connection only if no later request has been started.
 package pipeliner
--- a/internal/connection/pipeliner/framing.go
+++ b/internal/connection/pipeliner/framing.go
@@ -22,8 +22,8 @@
 	_ = w.WriteByte(' ')
 	_, _ = w.WriteString(http.StatusText(p.status))
 	_, _ = w.WriteString("\r\n")
-	ends := p.writeFraming()
-	if p.closesAfter(ends) {
+	mustClose := p.writeFraming()
+	if p.closesAfter(mustClose) {
 		_, _ = w.WriteString("Connection: close\r\n")
 	} else if p.request != nil && !p.request.ProtoAtLeast(1, 1) {
 		_, _ = w.WriteString("Connection: keep-alive\r\n")
@@ -37,9 +37,9 @@
 	_, _ = w.WriteString("\r\n")
 }
 
-// writeFraming writes the header field that tells where the body ends. It reports
-// whether the body ends with the connection.
-func (p *response) writeFraming() (ends bool) {
+// writeFraming writes the header field that determines where the body ends. It reports
+// whether the connection must be closed after the response, since only that ends the body.
+func (p *response) writeFraming() (mustClose bool) {
 	w := p.conn.writer
 	switch {
 	case p.status == http.StatusNoContent:
@@ -58,16 +58,16 @@
 }
 
 // closesAfter reports whether the connection is closed after this response. If later
-// requests have been started, the last of their responses closes it instead. ends
-// reports whether the body ends with the connection.
-func (p *response) closesAfter(ends bool) bool {
+// requests have been started, the last of their responses closes it instead. mustClose is
+// the result of writeFraming.
+func (p *response) closesAfter(mustClose bool) bool {
 	c := p.conn
-	ends = ends || p.last || httpguts.HeaderValuesContainsToken(p.sentHeader["Connection"], "close") || c.server.isDraining()
+	mustClose = mustClose || p.last || httpguts.HeaderValuesContainsToken(p.sentHeader["Connection"], "close") || c.server.isDraining()
 	read := p.body == nil || p.body.discardRest()
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.bodyUnread = c.bodyUnread || !read
-	c.closing = c.closing || ends || !read
+	c.closing = c.closing || mustClose || !read
 	return c.closing && len(c.pending) == 1
 }
 
--- a/internal/connection/pipeliner/response.go
+++ b/internal/connection/pipeliner/response.go
@@ -16,7 +16,7 @@
 	maxUnframedBytes = 2 << 10
 
 	// maxBufferedBytes bounds the buffer of a response that waits for earlier ones. A
-	// response up to this size frees its upstream at once, also if an earlier one is slow.
+	// response up to this size frees its upstream at once, even if an earlier one is slow.
 	maxBufferedBytes = 128 << 10
 
 	// maxBufferedBytesTotal bounds these buffers of all responses: an eighth of the 184 MB of
--- a/internal/connection/pipeliner/server.go
+++ b/internal/connection/pipeliner/server.go
@@ -18,8 +18,8 @@
 	defaultMaxHeadBytes = http.DefaultMaxHeaderBytes
 
 	// maxPipelined is how many requests of a connection are handled concurrently. Callers
-	// pipeline up to eight. Twice that does not delay them, and still keeps one caller
-	// from taking much more than its share.
+	// pipeline up to eight requests. A limit of twice that does not delay them, and still
+	// prevents one caller from taking much more than its share.
 	maxPipelined = 16
 
 	// maxPipelinedTotal is how many requests of all connections are handled while an
@@ -49,7 +49,7 @@
 var ErrServerClosed = http.ErrServerClosed
 
 type (
-	// Kind tells why a request was refused without a call of the handler.
+	// Kind is the reason why a request was refused without a call of the handler.
 	Kind string
 
 	// Server serves connections of callers. Handler must be set before use. All other
@@ -59,8 +59,8 @@
 		// MayOverlap reports whether a request without a body may be handled concurrently
 		// with others of its connection. Nil allows none.
 		MayOverlap func(*http.Request) bool
-		// Leaving reports whether connections are to be closed, each with the next
-		// response after which no request was started. Nil means never.
+		// Leaving reports whether connections are to be closed. Each is closed after its
+		// next response that has no started request after it. Nil means never.
 		Leaving func() bool
 		// HeadTimeout returns how long a head may take from its first byte, and
 		// IdleTimeout how long a connection may wait for one. They are called again each
--- a/internal/connection/pooler/availability.go
+++ b/internal/connection/pooler/availability.go
@@ -36,8 +36,8 @@
 	return exchanger.Refused(exchanger.ReasonNoUpstream, min(max(soonest-now, minRetryAfter), maxRetryAfter)), true
 }
 
-// overLimit reports whether one more request from another site would exceed the share of
-// the slots that detours may fill. The caller holds the lock.
+// overLimit reports whether one more request from another site would exceed the limit,
+// the share of the slots up to which detours are admitted. The caller holds the lock.
 func (p *Pool) overLimit() bool {
 	_, slots := p.countSlots(p.clock.Now())
 	return float64(p.busy()+p.waiting.Len()+1) > float64(slots)*p.settings.Limit
--- a/internal/connection/pooler/owner.go
+++ b/internal/connection/pooler/owner.go
@@ -30,7 +30,7 @@
 	}
 
 	// Admission is called right before a call is sent. It reports whether the call is
-	// refused, with the result in that case.
+	// refused, and returns the refusal.
 	Admission func(*exchanger.Call) (exchanger.Result, bool)
 
 	// Owner holds the pools of one daemon. The zero value has no pools.
@@ -116,8 +116,8 @@
 		}
 	}
 	for _, u := range p.upstreams {
-		// The new owner of a removed upstream has claimed it. Owning it again
-		// takes another claim.
+		// Another daemon may have claimed a removed upstream. To own it again, this
+		// daemon must claim it again.
 		u.claimed = u.claimed && !u.removed
 	}
 	p.prune()
--- a/internal/connection/pooler/pool.go
+++ b/internal/connection/pooler/pool.go
@@ -99,8 +99,8 @@
 	return p.awaitGrant(ctx, e, w, deadline)
 }
 
-// refusal reports whether a request may not join the queue, and the result then. The
-// caller holds the lock.
+// refusal reports whether a request must be refused instead of queued, and returns the
+// refusal. The caller holds the lock.
 func (p *Pool) refusal(deadline timekeeper.Millis) (exchanger.Result, bool) {
 	if len(p.upstreams) == 0 {
 		return exchanger.Refused(exchanger.ReasonNotOwner, retryAfter), true
@@ -137,7 +137,7 @@
 	}
 	select {
 	case u := <-w.granted:
-		return p.granted(u, deadline)
+		return p.acceptGrant(u, deadline)
 	case <-ctx.Done():
 	}
 	p.lock.Lock()
@@ -160,7 +160,7 @@
 	return nil, exchanger.Refused(reason, retryAfter)
 }
 
-func (p *Pool) granted(u *upstream, deadline timekeeper.Millis) (*upstream, exchanger.Result) {
+func (p *Pool) acceptGrant(u *upstream, deadline timekeeper.Millis) (*upstream, exchanger.Result) {
 	if u == nil {
 		p.lock.Lock()
 		defer p.lock.Unlock()
@@ -221,7 +221,7 @@
 }
 
 // grantSlots grants free slots to queued requests in order. If no upstream is left to
-// wait for, it grants them nil. The caller holds the lock.
+// wait for, it sends nil to all of them. The caller holds the lock.
 func (p *Pool) grantSlots() {
 	for p.waiting.Len() > 0 {
 		u := p.pick()
--- a/pkg/finder/finder.go
+++ b/pkg/finder/finder.go
@@ -45,7 +45,7 @@
 var ErrNoEntry = eris.New("no entry reached")
 
 type (
-	// Outcome tells whether a request ran and was answered.
+	// Outcome is what is known about whether a request ran.
 	Outcome uint8
 
 	// Finder looks up entries and sends requests to them. Seeds must be set; the
--- a/pkg/registrar/distance.go
+++ b/pkg/registrar/distance.go
@@ -9,7 +9,7 @@
 	UnknownDistance Distance = "unknown"
 )
 
-// Distance tells which boundary traffic between two sites crosses: none, that of a
+// Distance is the boundary that traffic between two sites crosses: none, that of a
 // failure domain or that of a region.
 type Distance string
 
--- a/pkg/storer/client.go
+++ b/pkg/storer/client.go
@@ -209,7 +209,7 @@
 // by the timeout, since it depends on the length and the bandwidth. For a status that is
 // not a success, Call returns both the body and an error.
 func (c *Client) Call(q *http.Request, timeout timekeeper.Millis) (*http.Response, []byte, error) {
-	ctx, progressTimer := c.progressTimer(q.Context(), timeout)
+	ctx, progressTimer := c.startProgressTimer(q.Context(), timeout)
 	defer progressTimer.stop()
 	var wrote atomic.Bool
 	q = q.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { wrote.Store(true) }}))
--- a/pkg/storer/progress.go
+++ b/pkg/storer/progress.go
@@ -28,9 +28,9 @@
 	maxUnmonitoredBytes = 64 << 10
 )
 
-// progressTimer cancels a call that makes no progress. Its deadline starts as that for the
-// response to begin. Progress may extend the deadline by the idle timeout, up to latest,
-// but never shortens it.
+// progressTimer cancels a call that makes no progress. Its initial deadline is that for the
+// response to begin. Each read moves the deadline to the idle timeout from then, at most to
+// latest, but never to an earlier time.
 type progressTimer struct {
 	cancel   context.CancelCauseFunc
 	lock     sync.Mutex
@@ -39,9 +39,9 @@
 	latest   time.Time
 }
 
-// progressTimer returns a context that is cancelled with DeadlineExceeded as its cause
+// startProgressTimer returns a context that is cancelled with DeadlineExceeded as its cause
 // when the call makes no progress for too long.
-func (c *Client) progressTimer(ctx context.Context, timeout timekeeper.Millis) (context.Context, *progressTimer) {
+func (c *Client) startProgressTimer(ctx context.Context, timeout timekeeper.Millis) (context.Context, *progressTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	deadline := time.Now().Add(timeout.Duration())
 	p := &progressTimer{
@@ -77,7 +77,8 @@
 	}
 }
 
-// monitoredBody is a body that extends the deadline of progress by idle on each read.
+// monitoredBody is a body that moves the deadline of progressTimer to idle from now on each
+// read.
 type monitoredBody struct {
 	io.ReadCloser
 	progressTimer *progressTimer
