--- a/test/bad_input_test.go
+++ b/test/bad_input_test.go
@@ -99,9 +99,9 @@
 	return l.Addr().String()
 }
 
-// TestCutAnswerStaysCut guards against a truncated response, with a length or chunked, that
-// reaches the caller as a complete one.
-func TestCutAnswerStaysCut(t *testing.T) {
+// TestTruncatedResponseStaysTruncated guards against a truncated response, with a length or
+// chunked, that reaches the caller as a complete one.
+func TestTruncatedResponseStaysTruncated(t *testing.T) {
 	for name, head := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -130,9 +130,10 @@
 	}
 }
 
-// TestLostUpstreamIsUnknown has an upstream read a request and close the connection. A POST is
-// neither retried nor reported as not run, with or without an idempotency key.
-func TestLostUpstreamIsUnknown(t *testing.T) {
+// TestPostOutcomeIsUnknownAfterUpstreamCloses has an upstream read a request and close the
+// connection without a response. A POST is neither retried nor reported as not run, with or without
+// an idempotency key.
+func TestPostOutcomeIsUnknownAfterUpstreamCloses(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	upstream := startTruncatingUpstream(t, "")
--- a/test/deadly_test.go
+++ b/test/deadly_test.go
@@ -106,16 +106,16 @@
 	}
 }
 
-// lateArrivals returns how often the request reached upstreams after all daemons had to know
-// about it, and the total number of crashes.
+// lateArrivals returns how often the request reached upstreams more than propagationTime after the
+// third crash, and the total number of crashes.
 func (u *crashingUpstreams) lateArrivals() (arrivals, crashes int) {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	if len(u.crashes) < maxLateArrivals {
 		return 0, len(u.crashes)
 	}
-	allKnow := u.crashes[2].Add(propagationTime)
-	lateArrivals := slices.DeleteFunc(slices.Clone(u.arrivals), func(t time.Time) bool { return t.Before(allKnow) })
+	quarantinedBy := u.crashes[2].Add(propagationTime)
+	lateArrivals := slices.DeleteFunc(slices.Clone(u.arrivals), func(t time.Time) bool { return t.Before(quarantinedBy) })
 	return len(lateArrivals), len(u.crashes)
 }
 
@@ -183,7 +183,7 @@
 			lateArrivals, crashes := u.lateArrivals()
 			t.Log(crashes, "upstream crashes; outcomes:", outcomes)
 			is.True(crashes >= maxLateArrivals)
-			is.True(lateArrivals <= maxLateArrivals) // ran although all daemons had to know
+			is.True(lateArrivals <= maxLateArrivals) // runs after every daemon should have quarantined it
 			var listed quarantiner.Listing
 			is.Equal(daemons[3].callOperator(http.MethodGet, quarantiner.PathList, nil, &listed), http.StatusOK)
 			is.Equal(len(listed.Suspects), 1)
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -41,8 +41,9 @@
 `, version, evacuated, upstreams[0], upstreams[1])
 }
 
-// TestUnknownMechanismsAreRefused starts daemons with unknown mechanism names. They must exit
-// with an error that lists the valid names before they open anything.
+// TestUnknownMechanismsAreRefused starts daemons with unknown names in --without. They must exit
+// before they open files or listeners, with an error that names the unknown mechanisms and the valid
+// ones.
 func TestUnknownMechanismsAreRefused(t *testing.T) {
 	for _, args := range [][]string{{"entry", "--table", "none.toml"}, {"platform"}} {
 		t.Run(args[0], func(t *testing.T) {
@@ -56,9 +57,9 @@
 	}
 }
 
-// TestEntryFollowsItsTable runs an entry from a table file. Routes and limits apply, a changed
+// TestEntryReloadsTable runs an entry from a table file. Routes and limits apply, a changed
 // file takes effect, and an invalid or older table is ignored.
-func TestEntryFollowsItsTable(t *testing.T) {
+func TestEntryReloadsTable(t *testing.T) {
 	is := is.New(t)
 	upstreams := []string{startUpstream(t), startUpstream(t)}
 	file := filepath.Join(t.TempDir(), "table.toml")
@@ -127,9 +128,10 @@
 	is.Equal(entry.waitExit(), 0)
 }
 
-// TestEntryAsksWhoseRequestsAre runs an entry whose table has an organisation. The key comes from
-// the command-line tool, the rate limit applies, and a removed key is rejected.
-func TestEntryAsksWhoseRequestsAre(t *testing.T) {
+// TestEntryRequiresKeyOfOrganisation runs an entry whose table has an organisation. Its API key,
+// created by the command-line tool, is accepted up to the rate limit; another key is rejected, and
+// so is the first one after it has been removed from the table.
+func TestEntryRequiresKeyOfOrganisation(t *testing.T) {
 	is := is.New(t)
 	var created struct{ Key, Digest string }
 	is.NoErr(json.Unmarshal([]byte(runCommandWithInput(t, "", "-o", "json", "key")), &created))
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -224,8 +224,8 @@
 }
 
 // TestPlatformOutage takes the platform down. Requests continue, the upstreams of a killed owner
-// are taken over, and a new daemon starts from its peers. Once the platform is back, all daemons
-// apply the next change.
+// are taken over, and a new daemon gets its settings from its peers. Once the platform is back, all
+// daemons apply the next change.
 func TestPlatformOutage(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
@@ -237,7 +237,7 @@
 	eventually(t, "the outage is noticed", func() bool {
 		return !all[0].status().Platform
 	})
-	// Longer than any lease or membership is valid; waits for no condition.
+	// A fixed time, longer than any lease or membership is valid.
 	time.Sleep(12 * time.Second)
 	load.waitProgress()
 	is.Equal(totalSlots(all...), 12.0)
@@ -280,10 +280,10 @@
 	is.True(account.Answered > account.Requests*9/10)
 }
 
-// TestDomainRestartsInOutage kills and restarts the only daemon of a failure domain while the
-// platform is down. The region serves its upstreams in the meantime, and the new daemon starts
-// from its peers.
-func TestDomainRestartsInOutage(t *testing.T) {
+// TestDomainRestartDuringPlatformOutage kills and restarts the only daemon of a failure domain
+// while the platform is down. Another daemon of the region takes over its upstreams in the meantime,
+// and the restarted daemon gets its settings from that peer.
+func TestDomainRestartDuringPlatformOutage(t *testing.T) {
 	address := startPlatform(t)
 	text, upstreams := startTwoUpstreams(t)
 	a := startDaemon(t, daemonOptions{name: "erie-a", region: "erie", domain: "a", platform: address})
@@ -308,9 +308,9 @@
 	load.stopAndVerify(upstreams...)
 }
 
-// TestCutOff cuts one daemon off from the platform and from all links. It reports this, serves
-// the settings it has, and catches up once it is connected again.
-func TestCutOff(t *testing.T) {
+// TestIsolatedDaemonCatchesUp cuts one daemon off from the platform and from all links. It reports
+// this, serves the settings it has, and catches up once it is connected again.
+func TestIsolatedDaemonCatchesUp(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	text, _ := startTwoUpstreams(t)
@@ -342,9 +342,9 @@
 	b.setAndWait(2, "32")
 }
 
-// TestLeadPaused suspends the leader for longer than its lease. Another daemon becomes leader,
-// and the first has no authority when it resumes.
-func TestLeadPaused(t *testing.T) {
+// TestSuspendedLeaderIsReplaced suspends the leader for longer than its lease. Another daemon
+// becomes leader, and the first is an ordinary member when it resumes.
+func TestSuspendedLeaderIsReplaced(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	text, upstreams := startTwoUpstreams(t)
@@ -374,9 +374,9 @@
 	load.stopAndVerify(upstreams...)
 }
 
-// TestOwnerPaused suspends an owner that has requests in flight. Others take over its upstreams
-// once its membership has expired, and no request runs twice when it resumes.
-func TestOwnerPaused(t *testing.T) {
+// TestSuspendedOwnerIsReplaced suspends an owner that has requests in flight. Others take over its
+// upstreams once its membership has expired, and no request runs twice when it resumes.
+func TestSuspendedOwnerIsReplaced(t *testing.T) {
 	address := startPlatform(t)
 	all, upstreams := startThreeOwners(t, address)
 	owner := all[0]
@@ -435,9 +435,9 @@
 	load.stopAndVerify(upstreams...)
 }
 
-// TestOwnerNotDialled refuses all links to the owner of the only upstream. The other entry keeps
-// answering over the link that the owner itself opened.
-func TestOwnerNotDialled(t *testing.T) {
+// TestRequestsUseLinkOpenedByOwner makes the owner of the only upstream unreachable for new links.
+// The other entry keeps answering over the link that the owner opened to it.
+func TestRequestsUseLinkOpenedByOwner(t *testing.T) {
 	address := startPlatform(t)
 	upstream := startUpstream(t)
 	a, pa := startBehindProxy(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
@@ -463,7 +463,7 @@
 			t.Fatal("not answered")
 		}
 	}
-	// Longer than the leader waits for heartbeats; waits for no condition.
+	// A fixed time, longer than the leader waits for a heartbeat.
 	time.Sleep(leader.MemberTimeout.Duration() + time.Second)
 	eventually(t, "both are members", func() bool { return a.status().Members == 2 && b.status().Valid && a.status().Valid })
 	a.setAndWait(2, "44")
@@ -472,9 +472,9 @@
 	}
 }
 
-// TestReplacedVM kills a daemon and starts another at the same addresses, which must not be taken
-// for the old incarnation.
-func TestReplacedVM(t *testing.T) {
+// TestReplacementAtSameAddresses kills a daemon and starts another at the same addresses. Its peers
+// must treat it as a new incarnation.
+func TestReplacementAtSameAddresses(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	text, upstreams := startTwoUpstreams(t)
@@ -497,8 +497,8 @@
 	load.waitProgress()
 	account := load.stopAndVerify(upstreams...)
 	// Requests in flight at the killed daemon may have run: one or two, at 50 per second of about
-	// 10 ms each. No others may be lost, however long the roster takes, because first attempts for
-	// keys of the lost home go elsewhere.
+	// 10 ms each. No others may be lost, however late the killed daemon leaves the roster: a first
+	// attempt for a key whose home is lost is refused as not run, and the finder retries it.
 	const inFlight = 5
 	is.True(account.Unknown <= inFlight)
 	is.True(account.Answered > account.Requests*9/10)
--- a/test/keys_test.go
+++ b/test/keys_test.go
@@ -42,9 +42,9 @@
 	return resp.Header.Get("Gullvale-Outcome"), string(b), resp.Header.Get("Gullvale-Replayed") != "", err
 }
 
-// TestFirstTryOfLostHome sends a key whose home is not a member. Only a request marked as the
-// first attempt is known not to have run.
-func TestFirstTryOfLostHome(t *testing.T) {
+// TestFirstAttemptForLostHomeIsNotRun sends a key whose home is not a member. The outcome is unknown,
+// because an earlier attempt may have run, unless the request is marked as the first attempt.
+func TestFirstAttemptForLostHomeIsNotRun(t *testing.T) {
 	is := is.New(t)
 	text, _ := startTwoUpstreams(t)
 	d := startDaemon(t, daemonOptions{name: "erie-0", region: "erie", domain: "a", platform: startPlatform(t)})
--- a/test/loss_scenarios_test.go
+++ b/test/loss_scenarios_test.go
@@ -34,7 +34,7 @@
 		}
 		d.daemon.kill()
 	}},
-	{"SilenceThenDaemon", func(t *testing.T, d *failureDomain) {
+	{"SuspensionThenDaemonAndUpstream", func(t *testing.T, d *failureDomain) {
 		d.daemon.signal(syscall.SIGSTOP)
 		before := d.load.Running()
 		eventually(t, "requests wait for the suspended daemon", func() bool { return d.load.Running() > before+scenarioPending })
@@ -43,10 +43,10 @@
 	}},
 }
 
-// TestLostDomainRunsNothingTwice guards against a request that runs in a lost failure domain and
-// again elsewhere. It takes down two domains of a region in turn, at different stages of the
-// requests in flight.
-func TestLostDomainRunsNothingTwice(t *testing.T) {
+// TestDomainLossRunsNoRequestTwice guards against a request that runs in a lost failure domain and
+// again elsewhere. Each scenario takes down two domains of a region in turn, each time by another
+// order of failures, so that requests in flight are lost at different stages.
+func TestDomainLossRunsNoRequestTwice(t *testing.T) {
 	for _, m := range lossScenarios {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -51,8 +51,8 @@
 	return float64(pages * pageKB)
 }
 
-// idleDuration is how long the resource usage of a fleet is measured.
-const idleDuration = 15 * time.Second
+// usageDuration is how long the resource usage of a fleet is measured.
+const usageDuration = 15 * time.Second
 
 func startFleet(b *testing.B, platform string, n int, regions ...string) []*daemon {
 	b.Helper()
@@ -99,22 +99,22 @@
 				return fmt.Sprintf("127.0.0.1:%d", ports)
 			}))
 			for b.Loop() {
-				reportIdle(b, all)
+				reportUsage(b, all)
 			}
 		})
 	}
 }
 
-// reportIdle reports the resource usage per daemon over idleDuration, and the calls and writes of
-// all daemons to the platform.
-func reportIdle(b *testing.B, all []*daemon) {
+// reportUsage reports the resource usage per daemon over usageDuration, and the calls and writes
+// of all daemons to the platform.
+func reportUsage(b *testing.B, all []*daemon) {
 	b.Helper()
 	before := measureUsage(all)
-	time.Sleep(idleDuration)
+	time.Sleep(usageDuration)
 	after := measureUsage(all)
 	n := float64(len(all))
 	report := func(name string, from, to, divisor float64) {
-		b.ReportMetric((to-from)/idleDuration.Seconds()/divisor, name)
+		b.ReportMetric((to-from)/usageDuration.Seconds()/divisor, name)
 	}
 	report("link-B/s", before.link, after.link, n)
 	report("wire-B/s", before.wire, after.wire, n)
@@ -123,32 +123,32 @@
 	for i := range all {
 		busiest = max(busiest, after.links[i]-before.links[i])
 	}
-	b.ReportMetric(busiest/idleDuration.Seconds(), "most-link-B/s")
+	b.ReportMetric(busiest/usageDuration.Seconds(), "most-link-B/s")
 	report("platform-B/s", before.platform, after.platform, n)
 	report("cpu-ms/s", before.cpuTime, after.cpuTime, n)
-	// Reading the status beforehand cost each daemon one call.
+	// The first measureUsage made each daemon call the platform once.
 	report("calls/s", before.calls+n, after.calls, 1)
 	report("writes/s", before.writes, after.writes, 1)
 	b.ReportMetric(after.residentKB/n, "rss-KB")
 }
 
-// BenchmarkLead reports the traffic of the leader as its region grows; most-link-B/s is the
-// leader's.
-func BenchmarkLead(b *testing.B) {
+// BenchmarkLeaderTraffic reports the link traffic of the leader, as most-link-B/s, for regions of
+// different sizes.
+func BenchmarkLeaderTraffic(b *testing.B) {
 	for _, n := range []int{10, 20, 40, 71} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			all := startFleet(b, startPlatform(b), n, "erie")
 			all[0].applySettings(n, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
 			for b.Loop() {
-				reportIdle(b, all)
+				reportUsage(b, all)
 			}
 		})
 	}
 }
 
-// BenchmarkLoaded reports the cost of the control plane under load: load reports, and the free
-// slots that owners announce to the daemons of their site.
-func BenchmarkLoaded(b *testing.B) {
+// BenchmarkControlPlaneUnderLoad reports the cost of the control plane while requests are served:
+// load reports, and the free slots that owners announce to the daemons of their site.
+func BenchmarkControlPlaneUnderLoad(b *testing.B) {
 	for _, rate := range []float64{100, 300, 900} {
 		b.Run(fmt.Sprint(rate), func(b *testing.B) {
 			all := startFleet(b, startPlatform(b), 12)
@@ -157,8 +157,8 @@
 			load.waitProgress()
 			for b.Loop() {
 				forwarded := forwardedRequests(all)
-				reportIdle(b, all)
-				b.ReportMetric((forwardedRequests(all)-forwarded)/idleDuration.Seconds(), "handed/s")
+				reportUsage(b, all)
+				b.ReportMetric((forwardedRequests(all)-forwarded)/usageDuration.Seconds(), "handed/s")
 			}
 			load.cancel()
 			load.done.Wait()
@@ -166,9 +166,9 @@
 	}
 }
 
-// BenchmarkReturn takes the platform down for longer than any lease and reports the highest number
-// of calls per second in the first 5 s after it is back.
-func BenchmarkReturn(b *testing.B) {
+// BenchmarkPlatformRecovery takes the platform down for longer than any lease and reports the
+// highest number of calls per second in the first 5 s after it is back.
+func BenchmarkPlatformRecovery(b *testing.B) {
 	for _, n := range []int{10, 20, 40} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			address := startPlatform(b)
@@ -223,7 +223,7 @@
 			all := startFleet(b, startPlatform(b), 14, names[:n]...)
 			all[0].applySettings(14, "Limit = \"80%\"\n")
 			for b.Loop() {
-				reportIdle(b, all)
+				reportUsage(b, all)
 			}
 		})
 	}
@@ -255,8 +255,9 @@
 	return s
 }
 
-// BenchmarkInForce reports the time from a change of settings until it is in force on all daemons.
-func BenchmarkInForce(b *testing.B) {
+// BenchmarkChangeInForce reports the time from a change of settings until it is in force on all
+// daemons.
+func BenchmarkChangeInForce(b *testing.B) {
 	for _, n := range []int{5, 10, 20, 40} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			address := startPlatform(b)
--- a/test/owner_test.go
+++ b/test/owner_test.go
@@ -43,13 +43,13 @@
 	is.Equal(owners, 1)
 	load.stopAndVerify(upstream)
 	c := upstreamCounts(t, upstream)
-	is.True(c.Conns <= 12) // slots, a probe and this test, and no multiple of the daemons
+	is.True(c.Conns <= 12) // one per slot, for probes and for this test; six daemons would need more
 	is.Equal(c.Shed, int64(0))
 }
 
-// TestListedVMGetsNothingNew marks the VM of an upstream as leaving in the platform's list only;
-// the upstream itself does not announce it.
-func TestListedVMGetsNothingNew(t *testing.T) {
+// TestUpstreamOnLeavingVMIsReleased marks the VM of an upstream as leaving in the platform's list.
+// The owner must release the slots although the upstream itself does not announce that it drains.
+func TestUpstreamOnLeavingVMIsReleased(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	upstream := startUpstream(t)
@@ -68,8 +68,8 @@
 	eventually(t, "no slots of the upstream are owned", func() bool { return d.ownedSlots() == 0 })
 }
 
-// TestDrainingUpstreamGetsNothingNew has an upstream announce under load that it is draining.
-func TestDrainingUpstreamGetsNothingNew(t *testing.T) {
+// TestDrainingUpstreamGetsNoNewRequests has an upstream announce under load that it is draining.
+func TestDrainingUpstreamGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	text, upstreams := startTwoUpstreams(t)
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -22,9 +22,9 @@
 
 const oneSiteSettings = "[Region.erie.Domain.a.Service.keg-ledger]\nUpstreams = [%q]\nSlots = 6\n"
 
-// TestWholePath sends a lookup and a forwarded request through a daemon whose settings come from
-// the platform.
-func TestWholePath(t *testing.T) {
+// TestLookupAndForwarding sends a lookup, and a request to forward, to a daemon whose settings come
+// from the platform.
+func TestLookupAndForwarding(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	upstream := startUpstream(t)
@@ -57,8 +57,8 @@
 	is.Equal(upstreamCounts(t, upstream).Journal["t1"], 1)
 }
 
-// TestLookupSaysWhatIsWrong checks the errors of invalid lookups.
-func TestLookupSaysWhatIsWrong(t *testing.T) {
+// TestInvalidLookupErrors checks the errors of invalid lookups.
+func TestInvalidLookupErrors(t *testing.T) {
 	address := startPlatform(t)
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 	d.applySettings(1, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
@@ -83,8 +83,9 @@
 	}
 }
 
-// TestStopKeepsLongExport stops the entry or the owner during a long export, which must complete.
-func TestStopKeepsLongExport(t *testing.T) {
+// TestStopCompletesLongExport stops the entry or the owner during a long export, which must
+// complete.
+func TestStopCompletesLongExport(t *testing.T) {
 	const length = 3 << 20
 	for _, c := range []struct {
 		name string
@@ -138,10 +139,10 @@
 	return owner, entry
 }
 
-// TestOperatorsRace changes settings concurrently through two daemons from the same base. For the
-// same setting one change wins and the other response names the winner; changes of different
-// settings both succeed.
-func TestOperatorsRace(t *testing.T) {
+// TestConcurrentSettingsChanges changes settings concurrently through two daemons from the same
+// base. For the same setting one change wins and the other response names the winner; changes of
+// different settings both succeed.
+func TestConcurrentSettingsChanges(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	d1 := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
@@ -177,9 +178,9 @@
 	is.Equal(codes, [2]int{http.StatusOK, http.StatusOK})
 }
 
-// TestLostAnswerEndsInTruth drops the platform's response to a write that took effect. The change
-// is accepted exactly once.
-func TestLostAnswerEndsInTruth(t *testing.T) {
+// TestLostPlatformResponseAcceptsChangeOnce drops the platform's response to a write that took
+// effect. The change is accepted exactly once, also if the operator sends it again.
+func TestLostPlatformResponseAcceptsChangeOnce(t *testing.T) {
 	is := is.New(t)
 	address := startPlatform(t)
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
@@ -197,9 +198,9 @@
 	is.Equal(len(log.Changes), 2)
 }
 
-// TestBadSettingsStartNothing starts a daemon with an invalid settings file, whose problems must
-// all be listed.
-func TestBadSettingsStartNothing(t *testing.T) {
+// TestInvalidSettingsFileListsAllProblems checks an invalid settings file with --check, which must
+// list every problem.
+func TestInvalidSettingsFileListsAllProblems(t *testing.T) {
 	is := is.New(t)
 	file := t.TempDir() + "/bad.toml"
 	is.NoErr(writeFile(file, "Name = \"Erie 1\"\nRegoin = \"erie\"\n\n[Platform]\nAddress = 7\n"))
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -65,7 +65,7 @@
 	load.waitProgress()
 	for range *randomSteps {
 		c.injectFault()
-		// Lets the fault last; waits for no condition.
+		// A random time for which the fault lasts.
 		time.Sleep(time.Duration(500+c.random.IntN(2500)) * time.Millisecond)
 		c.check()
 	}
