--- a/internal/version/authenticator/directory_test.go
+++ b/internal/version/authenticator/directory_test.go
@@ -45,11 +45,11 @@
 		{"empty", []string{""}, authenticator.Missing},
 		{"two", []string{"abc", "def"}, authenticator.Repeated},
 		{"the same twice", []string{"abc", "abc"}, authenticator.Repeated},
-		{"an empty one beside", []string{"abc", ""}, authenticator.Repeated},
-		{"joined", []string{"abc,def"}, authenticator.Malformed},
+		{"one and an empty one", []string{"abc", ""}, authenticator.Repeated},
+		{"joined by a comma", []string{"abc,def"}, authenticator.Malformed},
 		{"space", []string{"abc def"}, authenticator.Malformed},
 		{"control character", []string{"abc\x7f"}, authenticator.Malformed},
-		{"beyond ASCII", []string{"ab\u00e7"}, authenticator.Malformed},
+		{"non-ASCII", []string{"ab\u00e7"}, authenticator.Malformed},
 		{"long", []string{strings.Repeat("a", 16<<10)}, authenticator.Malformed},
 	}
 	for _, tt := range tests {
@@ -60,10 +60,10 @@
 	}
 }
 
-// TestSharedKeyIsNobodys gives one key to several organisations. The sender of a
+// TestSharedKeyHasNoHolder gives one key to several organisations. The sender of a
 // request with that key is ambiguous, so the key is assigned to none of them; their
 // other keys stay valid.
-func TestSharedKeyIsNobodys(t *testing.T) {
+func TestSharedKeyHasNoHolder(t *testing.T) {
 	is := is.New(t)
 	d, err := authenticator.New([]authenticator.Organisation{
 		{Name: "a", Keys: digests("k1", "shared")},
@@ -77,7 +77,7 @@
 	is.True(!strings.Contains(err.Error(), "shared")) // errors must not contain keys
 }
 
-func TestAllProblemsAtOnce(t *testing.T) {
+func TestNewReportsAllProblems(t *testing.T) {
 	is := is.New(t)
 	_, err := authenticator.New([]authenticator.Organisation{
 		{},
@@ -119,7 +119,7 @@
 
 // TestHolderAllocatesNothing guards the lookup that each request makes.
 func TestHolderAllocatesNothing(t *testing.T) {
-	d, values := many(t, 100), []string{"key-50-5"}
+	d, values := directoryOf(t, 100), []string{"key-50-5"}
 	n := testing.AllocsPerRun(100, func() {
 		key, status := authenticator.Credential(values)
 		if status != authenticator.Valid || d.Holder(key) == nil {
@@ -129,8 +129,8 @@
 	is.New(t).Equal(n, 0.0)
 }
 
-// many returns a directory of n organisations with 10 keys each.
-func many(t testing.TB, n int) *authenticator.Directory {
+// directoryOf returns a directory of n organisations with 10 keys each.
+func directoryOf(t testing.TB, n int) *authenticator.Directory {
 	list := make([]authenticator.Organisation, n)
 	for i := range list {
 		list[i].Name = authenticator.Name(fmt.Sprint("organisation-", i))
@@ -148,7 +148,7 @@
 // BenchmarkHolder measures the cost per request with 10,000 organisations of 10 keys
 // each.
 func BenchmarkHolder(b *testing.B) {
-	d, values := many(b, 10_000), []string{"key-5000-5"}
+	d, values := directoryOf(b, 10_000), []string{"key-5000-5"}
 	b.ReportAllocs()
 	for b.Loop() {
 		key, _ := authenticator.Credential(values)
@@ -161,6 +161,6 @@
 func BenchmarkNew(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		many(b, 10_000)
+		directoryOf(b, 10_000)
 	}
 }
--- a/internal/version/cataloger/catalog_test.go
+++ b/internal/version/cataloger/catalog_test.go
@@ -15,7 +15,7 @@
 	return cataloger.Upstream{ID: cataloger.UpstreamID(fmt.Sprint("u", i)), Service: "s", Site: "east/a", Slots: 6}
 }
 
-func TestLeavingAndEvacuatedTakeNothing(t *testing.T) {
+func TestLeavingAndEvacuatedAreNotUsable(t *testing.T) {
 	is := is.New(t)
 	var c cataloger.Catalog
 	for i := range 3 {
@@ -65,16 +65,16 @@
 	return u
 }
 
-// TestFormerLifeStaysGone reports incarnations of one upstream out of order, in single
-// reports and in lists. A former incarnation must never replace a later one.
-func TestFormerLifeStaysGone(t *testing.T) {
+// TestFormerIncarnationNeverReplacesLater reports incarnations of one upstream out of
+// order, in single reports and in lists.
+func TestFormerIncarnationNeverReplacesLater(t *testing.T) {
 	is := is.New(t)
 	var c cataloger.Catalog
 	first, second := incarnation(100, "a:1"), incarnation(200, "a:2")
 	is.True(c.Put(first))
 	old := c.Current().ByService("s")[0]
 	is.True(c.Put(second))
-	is.True(c.Current().ByService("s")[0].Hash() != old.Hash()) // a new incarnation remembers no keys
+	is.True(c.Current().ByService("s")[0].Hash() != old.Hash()) // a new incarnation remembers none of the old one's keys
 	is.True(c.Current().Usable(old.Incarnation()) == nil)
 	is.True(!c.Put(first)) // delayed report
 	is.Equal(c.Current().ByService("s")[0].Address, "a:2")
@@ -89,7 +89,7 @@
 	is.Equal(len(c.Current().ByService("s")), 2)
 }
 
-func TestLivesAreBounded(t *testing.T) {
+func TestRemovedStartTimesAreBounded(t *testing.T) {
 	is := is.New(t)
 	var c cataloger.Catalog
 	c.Put(incarnation(500, "a:1"))
--- a/internal/version/loader/load_test.go
+++ b/internal/version/loader/load_test.go
@@ -90,9 +90,9 @@
 	is.Equal(x.Upstreams[0].Release, "v1")
 }
 
-// TestProblemsAllAtOnce puts one error of each kind into a file beside another that is
-// always present. Both must be reported.
-func TestProblemsAllAtOnce(t *testing.T) {
+// TestReadReportsAllProblems puts two errors into a file: one of each kind in turn, and
+// an upstream whose service has no route. Both must be reported.
+func TestReadReportsAllProblems(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{"Version = 3", "Version = -3", "t.toml:1: Version: is not a whole number"},
 		{"Version = 3", "", "Version: missing"},
--- a/internal/version/locator/table_test.go
+++ b/internal/version/locator/table_test.go
@@ -17,7 +17,7 @@
 	"github.com/gullvale/gullvale/pkg/storer"
 )
 
-func TestLongestBlockWins(t *testing.T) {
+func TestFindUsesLongestPrefix(t *testing.T) {
 	is := is.New(t)
 	table, err := locator.Read(strings.NewReader("# all of it\n10.0.0.0/8 erie/a\n10.1.0.0/16 michigan/b\n2001:db8::/32 superior/a\n"))
 	is.NoErr(err)
@@ -33,7 +33,7 @@
 	is.True(x != table.Find(netip.MustParseAddr("192.0.3.1")))
 }
 
-func TestBadLinesAreNamed(t *testing.T) {
+func TestReadErrorsNameLine(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"10.0.0.0/8 erie/a\n10.0.0/8 erie/a", "x\n10.0.0.0/8"} {
 		_, err := locator.Read(strings.NewReader(text))
@@ -52,7 +52,7 @@
 	return b.String()
 }
 
-func TestTablesComeBackFromTheStore(t *testing.T) {
+func TestSaveAndLoad(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(&platform.Server{})
 	defer s.Close()
@@ -68,9 +68,9 @@
 	is.True(err != nil)
 }
 
-// TestSaveGoesOn interrupts a Save after two parts. The same text can then be saved
-// under the same name; a different text conflicts.
-func TestSaveGoesOn(t *testing.T) {
+// TestInterruptedSaveCanBeContinued interrupts a Save after two parts. The same text can
+// then be saved under the same name; a different text conflicts.
+func TestInterruptedSaveCanBeContinued(t *testing.T) {
 	is := is.New(t)
 	s := httptest.NewServer(&platform.Server{})
 	defer s.Close()
--- a/internal/version/matcher/config_test.go
+++ b/internal/version/matcher/config_test.go
@@ -64,7 +64,7 @@
 	is.Equal(n["v"], 0)
 }
 
-func TestUrgent(t *testing.T) {
+func TestMostUrgentRank(t *testing.T) {
 	is := is.New(t)
 	s := matcher.Part{Service: "s", Weight: 1}
 	first, second := route("a.example", "/a/", s), route("a.example", "/b/", s)
@@ -74,7 +74,7 @@
 	is.Equal(c.MostUrgentRank("s"), matcher.Rank(1))
 }
 
-func TestAllProblemsAtOnce(t *testing.T) {
+func TestNewReportsAllProblems(t *testing.T) {
 	is := is.New(t)
 	_, err := matcher.New(1, matcher.Limits{}, []matcher.Route{
 		route("a.example", "x", matcher.Part{Service: "absent", Weight: -1}),
--- a/internal/version/planner/loss_test.go
+++ b/internal/version/planner/loss_test.go
@@ -11,9 +11,9 @@
 	"github.com/gullvale/gullvale/pkg/registrar"
 )
 
-// lossTree returns settings with one service and 10 slots at each of four sites in two
-// regions.
-func lossTree(t testing.TB) *resolver.Resolved {
+// fourSiteSettings returns settings with one service and 10 slots at each of four sites in
+// two regions.
+func fourSiteSettings(t testing.TB) *resolver.Resolved {
 	t.Helper()
 	var edits []resolver.Edit
 	for i, site := range []string{"erie/a", "erie/b", "michigan/a", "michigan/b"} {
@@ -37,9 +37,9 @@
 		now, after     float64
 		without        string
 	}{
-		{"little", 2, 2, map[string]bool{"erie": true, "erie/a": true, "michigan": true, "michigan/b": true}, 0.75, 0.5, "erie/a"},
-		{"a domain but no region", 4.5, 4.5, map[string]bool{"erie": false, "erie/a": true, "michigan": false}, 0.4375, 0, "erie/a"},
-		{"nothing", 7.5, 7.5, map[string]bool{"erie": false, "erie/a": false, "michigan/b": false}, 0.0625, 0, "erie/a"},
+		{"every loss is covered", 2, 2, map[string]bool{"erie": true, "erie/a": true, "michigan": true, "michigan/b": true}, 0.75, 0.5, "erie/a"},
+		{"only domain losses are covered", 4.5, 4.5, map[string]bool{"erie": false, "erie/a": true, "michigan": false}, 0.4375, 0, "erie/a"},
+		{"no loss is covered", 7.5, 7.5, map[string]bool{"erie": false, "erie/a": false, "michigan/b": false}, 0.0625, 0, "erie/a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -50,7 +50,7 @@
 			for _, d := range []registrar.Site{"michigan/a", "michigan/b"} {
 				l.Add("s", d, c.michigan)
 			}
-			losses, headroom := planner.Losses(lossTree(t), l, 0)
+			losses, headroom := planner.Losses(fourSiteSettings(t), l, 0)
 			is.Equal(len(losses), 6)
 			for _, x := range losses {
 				if want, ok := c.covered[x.Lost]; ok && x.Covered() != want {
--- a/internal/version/planner/mover_test.go
+++ b/internal/version/planner/mover_test.go
@@ -103,6 +103,8 @@
 	is.Equal(f.share(f.last, "p/a", "p/a"), 1.0)
 }
 
+// TestNothingMovesWithoutMeasurements starts a drain while a region has no recent
+// measurement, and then while the last plan is not in force on all daemons.
 func TestNothingMovesWithoutMeasurements(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(5)
@@ -139,7 +141,7 @@
 	is.True(len(planner.Check(f.tree.Resolve(), f.load, f.now)) > 0)
 }
 
-func TestSpillFillsRoomElsewhere(t *testing.T) {
+func TestSpilloverUsesOtherRegions(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(5)
 	for _, s := range f.tree.Resolve().Sites {
@@ -156,8 +158,8 @@
 	is.Equal(len(planner.Check(f.tree.Resolve(), f.load, f.now)), 0)
 }
 
-// TestShiftComesBack removes a shift and expects the plan that preceded it.
-func TestShiftComesBack(t *testing.T) {
+// TestRemovedShiftRestoresPlan removes a shift and expects the plan that preceded it.
+func TestRemovedShiftRestoresPlan(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(5)
 	f.step(true)
@@ -181,11 +183,11 @@
 	is.Equal(len(f.last.Shifts), 0)
 }
 
-// TestMixesStayWithinLimits generates loads, shifts, drains, pauses and delayed
-// acknowledgements. After each step, with daemons on any mix of the last plan and the
-// next, no site that gains traffic may exceed its limit, and no shift may move more per
-// minute than its cap.
-func TestMixesStayWithinLimits(t *testing.T) {
+// TestMixOfPlansStaysWithinLimits generates loads, shifts, drains, pauses and delayed
+// acknowledgements of plans. After each step, with daemons on any mix of the last plan
+// and the next, no site that gains traffic may exceed its limit, and no shift may move
+// more per minute than its cap.
+func TestMixOfPlansStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture(rapid.IntRange(1, 6).Draw(t, "servers"))
 		sites := f.tree.Resolve().Sites
@@ -214,7 +216,7 @@
 				f.now += timekeeper.Millis(rapid.IntRange(0, 90000).Draw(t, "length"))
 			}
 			before := f.step(rapid.IntRange(0, 3).Draw(t, "in force") > 0)
-			checkMix(t, f, before)
+			checkLimits(t, f, before)
 			p := f.last.Shift(service, "p", "q")
 			moved = checkCap(t, append(moved, progressAt{f.now, p.Moved}), float64(limit)/100)
 		}
@@ -239,7 +241,7 @@
 	return moved
 }
 
-func checkMix(t *rapid.T, f *fixture, before planner.Plan) {
+func checkLimits(t *rapid.T, f *fixture, before planner.Plan) {
 	r := f.tree.Resolve()
 	for _, site := range r.Sites {
 		var was, mixed float64
--- a/internal/version/resolver/resolver_test.go
+++ b/internal/version/resolver/resolver_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestPathsPrintAsTheyRead(t *testing.T) {
+func TestPathRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, s := range []string{"/", "michigan", "michigan/a", ":keg-ledger", "michigan:keg-ledger", "michigan/a:keg-ledger"} {
 		p, err := resolver.ParsePath(s)
@@ -87,9 +87,9 @@
 	return e
 }
 
-// TestEditsCanBeTakenBack applies random edits. An accepted tree survives a round trip
-// through TOML, and the inverse of an edit restores the tree before it.
-func TestEditsCanBeTakenBack(t *testing.T) {
+// TestInverseAndTOMLRoundTrip applies random edits. An accepted tree survives a round
+// trip through TOML, and the inverse of an edit restores the tree before the edit.
+func TestInverseAndTOMLRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := resolver.Tree{}
 		for range rapid.IntRange(1, 12).Draw(t, "edits") {
@@ -115,7 +115,7 @@
 	})
 }
 
-func TestDrainFurtherUpCounts(t *testing.T) {
+func TestHigherLevelDrainTakesPrecedence(t *testing.T) {
 	is := is.New(t)
 	tree, problems := resolver.Tree{}.Apply([]resolver.Edit{
 		{Path: "r", Key: resolver.KeyDrain, Value: "true"},
--- a/internal/version/steerer/lookup_test.go
+++ b/internal/version/steerer/lookup_test.go
@@ -76,7 +76,7 @@
 	return s
 }
 
-func TestAnswersNameTheSite(t *testing.T) {
+func TestLookupResponses(t *testing.T) {
 	is := is.New(t)
 	s := snapshot(t, 3, 2, 2, 1000)
 	firsts := map[string]bool{}
