--- a/internal/standin/demonstrator/report.go
+++ b/internal/standin/demonstrator/report.go
@@ -111,8 +111,8 @@
 }
 
 // maxShiftRate returns the highest rate of the shift per minute over any span of
-// at least 2 s. The first step may include an initial burst that the planner
-// allows, so spans start at the sample before it.
+// at least 2 s. The first step may use credit that accumulated before it, so a
+// span that contains the step starts at the sample before the step.
 func (r *Report) maxShiftRate() float64 {
 	var highest float64
 	for i, a := range r.shiftSamples {
--- a/internal/version/applier/applier.go
+++ b/internal/version/applier/applier.go
@@ -41,7 +41,8 @@
 	return content, eris.Wrapf(err, "change %d", c.Number)
 }
 
-// Restore replaces the state with a snapshot unless the current state is as recent.
+// Restore replaces the state with a snapshot, unless the state is at least as recent as
+// the snapshot.
 func (a *Applier) Restore(s recorder.Snapshot) error {
 	if s.Number == 0 {
 		return nil
@@ -96,8 +97,8 @@
 	}
 }
 
-// apply never fails, because an accepted change is in force. Edits that this version of
-// the software does not understand are left out, and counted in rejected.
+// apply never fails: every daemon must apply an accepted change. Edits that this version
+// of the software does not understand are left out, and counted in rejected.
 func (a *Applier) apply(c recorder.Change) {
 	content, err := ContentOf(c)
 	if err != nil {
--- a/internal/version/cataloger/catalog.go
+++ b/internal/version/cataloger/catalog.go
@@ -71,11 +71,12 @@
 	}
 )
 
-// maxRemovedStarts is the number of removed upstreams whose start time is kept. Delayed
-// reports arrive within seconds, in which a fleet of hundreds replaces some tens.
+// maxRemovedStarts is the number of removed upstreams whose start time is kept. A delayed
+// report arrives within seconds, and in that time a fleet of hundreds of upstreams
+// replaces some tens of them.
 const maxRemovedStarts = 1000
 
-var empty Snapshot
+var emptySnapshot Snapshot
 
 // Hash returns a hash that identifies the incarnation.
 func (u *Upstream) Hash() hasher.Hash {
@@ -104,7 +105,7 @@
 	if s := c.current.Load(); s != nil {
 		return s
 	}
-	return &empty
+	return &emptySnapshot
 }
 
 // ByService returns the upstreams of a service that accept new requests. The caller must not
@@ -123,8 +124,8 @@
 }
 
 // Batch publishes all changes that f makes in a single snapshot. Building a snapshot
-// takes time proportional to the number of upstreams, and changes arrive by the
-// hundred.
+// takes time proportional to the number of upstreams, and hundreds of changes may arrive
+// at once.
 func (c *Catalog) Batch(f func()) {
 	c.lock.Lock()
 	c.openBatches++
--- a/internal/version/locator/store.go
+++ b/internal/version/locator/store.go
@@ -50,14 +50,14 @@
 		if text == "" || strings.HasPrefix(text, "#") {
 			continue
 		}
-		if err := b.line(text); err != nil {
+		if err := b.addLine(text); err != nil {
 			return eris.Wrapf(err, "line %d", line)
 		}
 	}
 	return s.Err()
 }
 
-func (b *Builder) line(text string) error {
+func (b *Builder) addLine(text string) error {
 	block, site, ok := strings.Cut(text, " ")
 	if !ok {
 		return eris.Errorf("%q is not a block followed by a failure domain", text)
@@ -76,17 +76,17 @@
 func Save(ctx context.Context, c *storer.Client, name string, text io.Reader) (int, error) {
 	s := bufio.NewScanner(text)
 	blocks := 0
-	// found is the conflict error for the last part if that part was already stored.
-	var found error
+	// conflict is the conflict error for the last part if that part was already stored.
+	var conflict error
 	for part := 0; ; part++ {
 		body, n, err := nextPart(s)
 		if err != nil {
 			return blocks, err
 		}
 		if n == 0 {
-			return blocks, found
+			return blocks, conflict
 		}
-		found, err = savePart(ctx, c, fmt.Sprintf("%s%s/%06d", objectPrefix, name, part), body)
+		conflict, err = savePart(ctx, c, fmt.Sprintf("%s%s/%06d", objectPrefix, name, part), body)
 		if err != nil {
 			return blocks, eris.Wrapf(err, "table %s part %d", name, part)
 		}
@@ -94,10 +94,10 @@
 	}
 }
 
-// savePart stores a part. If the same part is already stored, it returns the conflict
-// as found. When a create conflicts or its outcome is unknown, savePart reads the
-// object back to decide.
-func savePart(ctx context.Context, c *storer.Client, name string, body []byte) (found, err error) {
+// savePart stores a part. If the same part is already stored, err is nil and conflict is
+// the error of the store. When a create conflicts or its outcome is unknown, savePart
+// reads the object back to decide.
+func savePart(ctx context.Context, c *storer.Client, name string, body []byte) (conflict, err error) {
 	_, err = c.Create(ctx, name, body)
 	if !errors.Is(err, storer.ErrConflict) && !errors.Is(err, storer.ErrUnknown) {
 		return nil, err
--- a/internal/version/matcher/config.go
+++ b/internal/version/matcher/config.go
@@ -192,7 +192,7 @@
 }
 
 // Service selects the service of a request by the weights of the parts. The same key
-// always selects the same service, so that only one service has to remember it.
+// always selects the same service, so that only one service has to remember the key.
 func (r *Route) Service(key hasher.Hash) resolver.ServiceName {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
--- a/internal/version/planner/loss.go
+++ b/internal/version/planner/loss.go
@@ -39,8 +39,8 @@
 }
 
 // Losses predicts the effect of losing each failure domain and each region, and returns
-// the headroom of each region now and after the worst loss for it. The callers of a
-// lost place remain, and their requests go elsewhere.
+// the headroom of each region now and after the worst loss for it. The callers of a lost
+// failure domain or region remain, and their requests go to the other sites.
 func Losses(r *resolver.Resolved, l Load, wall timekeeper.Millis) ([]Loss, []Headroom) {
 	headroom := headroomByRegion(Predict(r, l, wall))
 	var out []Loss
--- a/internal/version/planner/mover.go
+++ b/internal/version/planner/mover.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// capMargin keeps a move below its cap in every window, including the credit of one
-	// step that may have accumulated before the window.
+	// capMargin keeps a move below its cap in any minute, although the minute may begin
+	// with up to maxAccrual of unused credit.
 	capMargin = 0.95
 
 	// maxAccrual is the longest time for which unused credit accumulates, and so bounds
@@ -141,15 +141,15 @@
 // accrueCredit adds the credit of every route and shift for the time since the last
 // call, at most maxAccrual.
 func (m *Mover) accrueCredit(in Input) {
-	since := min(in.Now-m.lastAccrual, maxAccrual)
+	elapsed := min(in.Now-m.lastAccrual, maxAccrual)
 	m.lastAccrual = in.Now
 	for _, service := range in.Settings.Services {
 		for _, origin := range in.Settings.Sites {
 			k := routeKey{service, origin}
-			m.credit[k] = accrued(m.credit[k], in.Settings.At(origin, service).MoveCap*capMargin, since)
+			m.credit[k] = accrued(m.credit[k], in.Settings.At(origin, service).MoveCap*capMargin, elapsed)
 		}
 	}
-	m.accrueShiftCredit(in, since)
+	m.accrueShiftCredit(in, elapsed)
 }
 
 // addRoute adds the route of k to next, moved towards its target as far as is allowed
--- a/internal/version/planner/shift.go
+++ b/internal/version/planner/shift.go
@@ -33,7 +33,7 @@
 
 // advanceShifts moves every shift towards its target share as far as its cap allows. A
 // shift advances only when all routes of its service have reached their targets;
-// otherwise steps that were held back would be made up for all at once.
+// otherwise the steps for which a route was held back would later follow all at once.
 func (m *Mover) advanceShifts(in Input) []Progress {
 	var out []Progress
 	for k, target := range shiftTargets(in.Settings, in.Last) {
@@ -62,17 +62,17 @@
 	return step
 }
 
-// accrueShiftCredit adds the credit of every shift for the time in since.
-func (m *Mover) accrueShiftCredit(in Input, since timekeeper.Millis) {
+// accrueShiftCredit adds the credit that every shift accrues in the elapsed time.
+func (m *Mover) accrueShiftCredit(in Input, elapsed timekeeper.Millis) {
 	for k, s := range shiftTargets(in.Settings, in.Last) {
-		m.shiftCredit[k] = accrued(m.shiftCredit[k], s.Cap*capMargin, since)
+		m.shiftCredit[k] = accrued(m.shiftCredit[k], s.Cap*capMargin, elapsed)
 	}
 }
 
-// accrued returns credit plus perMinute for the time in since, limited to the amount
-// that accrues in maxAccrual.
-func accrued(credit, perMinute float64, since timekeeper.Millis) float64 {
-	minutes := float64(since) / float64(timekeeper.Minute)
+// accrued returns credit plus what accrues at perMinute in the elapsed time, limited to
+// the amount that accrues in maxAccrual.
+func accrued(credit, perMinute float64, elapsed timekeeper.Millis) float64 {
+	minutes := float64(elapsed) / float64(timekeeper.Minute)
 	limit := perMinute * float64(maxAccrual) / float64(timekeeper.Minute)
 	return min(credit+perMinute*minutes, limit)
 }
--- a/internal/version/resolver/key.go
+++ b/internal/version/resolver/key.go
@@ -65,8 +65,8 @@
 	formClass
 )
 
-// shiftPrefix is the common prefix of the keys that define one shift. They conflict
-// with each other.
+// shiftPrefix is the common prefix of the keys that define one shift. Changes to any two
+// of these keys conflict.
 const shiftPrefix = "Shift"
 
 var levelNames = []struct {
--- a/internal/version/steerer/snapshot.go
+++ b/internal/version/steerer/snapshot.go
@@ -31,8 +31,9 @@
 		// Home is the site of this daemon. It is also the origin of callers outside all
 		// blocks.
 		Home registrar.Site
-		// Self is this daemon. It is appended to the entries of sites in other regions:
-		// those may all be lost, while the daemon that serves the lookup is alive.
+		// Self is this daemon. Responses that name a site in another region list it as
+		// the last entry: the entries of that region may all be lost, while the daemon
+		// that serves the lookup is alive.
 		Self registrar.Member
 		// Wall is the wall-clock time at which the snapshot is built. Without a plan it
 		// determines which drains have expired.
@@ -73,7 +74,8 @@
 		site    registrar.Site
 	}
 
-	// route maps keys to sites. Its responses are indexed like sites and the chooser.
+	// route maps the hashes of blocks to sites. The index that chooser returns is that
+	// of the site in sites, and of the responses for the site in responses.
 	route struct {
 		hash      hasher.Hash
 		chooser   sharer.Chooser
