--- a/internal/process/heartbeater/heartbeater.go
+++ b/internal/process/heartbeater/heartbeater.go
@@ -119,9 +119,9 @@
 		// OnHomes is called with the homes of keys that another member announced. May be
 		// nil.
 		OnHomes func([]assigner.Assignment)
-		// Ended is called with each incarnation of an upstream that another member
+		// OnTerminated is called with each incarnation of an upstream that another member
 		// announced as terminated. May be nil.
-		Ended func(cataloger.Incarnation)
+		OnTerminated func(cataloger.Incarnation)
 		// Quarantine holds the requests suspected of crashing upstreams, which members
 		// share. Nil disables sharing. OnSuspects is called with the changes learned from
 		// other members; it may be nil.
@@ -192,13 +192,13 @@
 
 // Run sends heartbeats until ctx is done.
 func (b *Heartbeater) Run(ctx context.Context) {
-	b.Beat(false)
-	timekeeper.Every(ctx, heartbeatInterval, func() { b.Beat(false) })
+	b.SendHeartbeats(false)
+	timekeeper.Every(ctx, heartbeatInterval, func() { b.SendHeartbeats(false) })
 }
 
-// Beat sends one round of heartbeats. If all is set, it goes to every member of the
-// region, for changes that must be known at once.
-func (b *Heartbeater) Beat(all bool) {
+// SendHeartbeats sends one round of heartbeats. If all is set, it goes to every member of
+// the region, for changes that must be known at once.
+func (b *Heartbeater) SendHeartbeats(all bool) {
 	self := b.Self()
 	watermarks := b.watermarks()
 	b.lock.Lock()
--- a/internal/process/heartbeater/heartbeater_test.go
+++ b/internal/process/heartbeater/heartbeater_test.go
@@ -64,7 +64,7 @@
 		n.now += round
 		for _, name := range n.names() {
 			if m := n.members[name]; !m.dead {
-				m.Beat(false)
+				m.SendHeartbeats(false)
 			}
 		}
 	}
--- a/internal/process/heartbeater/limits.go
+++ b/internal/process/heartbeater/limits.go
@@ -11,8 +11,8 @@
 // fleetView is a limiter.FleetView under construction.
 type fleetView limiter.FleetView
 
-// Census returns what this member knows of the members that share limits with it.
-func (b *Heartbeater) Census() limiter.FleetView {
+// FleetView returns what this member knows of the members that share limits with it.
+func (b *Heartbeater) FleetView() limiter.FleetView {
 	return limiter.FleetView(b.fleetView())
 }
 
--- a/internal/process/heartbeater/limits_test.go
+++ b/internal/process/heartbeater/limits_test.go
@@ -23,31 +23,31 @@
 	}
 }
 
-// TestCensus cuts off a member. The others still count it as known but no longer as reachable,
-// and the member itself reports that it is isolated.
-func TestCensus(t *testing.T) {
+// TestFleetView cuts off a member. The others still count it as known but no longer as
+// reachable, and the member itself reports that it is isolated.
+func TestFleetView(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
 	addFleet(n, 24)
 	n.rounds(12)
 	first, last := n.members["m00"], n.members["m20"]
-	c := first.Census()
+	c := first.FleetView()
 	is.Equal(c.Known, 24)
 	is.Equal(c.Reachable, 12) // east/a and east/b
 	is.Equal(len(c.Others), 2)
 	last.dead = true
 	n.rounds(5)
-	c = first.Census()
+	c = first.FleetView()
 	is.Equal(c.Known, 24)
 	is.Equal(c.Reachable, 11)
 	is.True(!c.Isolated)
-	is.True(last.Census().Isolated)
+	is.True(last.FleetView().Isolated)
 }
 
 // allocators returns the members that consider themselves limit allocators.
 func (n *network) allocators() (names []string) {
 	for _, name := range n.names() {
-		if c := n.members[name].Census(); c.IsAllocator && !c.Isolated {
+		if c := n.members[name].FleetView(); c.IsAllocator && !c.Isolated {
 			names = append(names, name)
 		}
 	}
--- a/internal/process/heartbeater/start_test.go
+++ b/internal/process/heartbeater/start_test.go
@@ -185,7 +185,7 @@
 	if m.dead {
 		return
 	}
-	m.Beat(false)
+	m.SendHeartbeats(false)
 	n.at(n.now+round, func() { n.beat(m) })
 }
 
--- a/internal/process/heartbeater/terminated.go
+++ b/internal/process/heartbeater/terminated.go
@@ -16,9 +16,9 @@
 // handleTerminated handles an announcement of terminated upstreams and, if asked to, forwards
 // it to the members of this region.
 func (b *Heartbeater) handleTerminated(m *Ended) {
-	if b.Ended != nil {
+	if b.OnTerminated != nil {
 		for _, i := range incarnations(m) {
-			b.Ended(i)
+			b.OnTerminated(i)
 		}
 	}
 	if m.PassOn {
