--- a/internal/process/fronter/fronter.go
+++ b/internal/process/fronter/fronter.go
@@ -103,9 +103,9 @@
 		KeysUnconfirmed func() bool
 		// Bounds returns the limits that all members share.
 		Bounds func() Bounds
-		// Ended is called with an incarnation of an upstream when another one responds at
-		// its address. It may be nil.
-		Ended func(cataloger.Incarnation)
+		// OnTerminated is called with an incarnation of an upstream when another one
+		// responds at its address. It may be nil.
+		OnTerminated func(cataloger.Incarnation)
 		// Homes maps keys to their home upstreams.
 		Homes *assigner.Assigner
 		// Quarantine tracks requests that crash their upstreams.
@@ -161,7 +161,7 @@
 		HasWarmupRoom:     f.hasWarmupRoom,
 		AcquireWarmupRoom: f.acquireWarmupRoom,
 		Homes:             o.Homes,
-		Ended:             o.Ended,
+		OnTerminated:      o.OnTerminated,
 		Quarantine:        o.Quarantine,
 		Limits:            o.Limits,
 		Retries: &dispatcher.Retries{
@@ -171,7 +171,7 @@
 		AwaitReady:   f.awaitStartup,
 		PipelineWait: pipeliner.Waited,
 		OnDecision:   f.logDecision,
-		Lost:         f.logLoss,
+		OnLoss:       f.logLoss,
 		Meter:        f.Meter,
 		Without:      o.Without,
 	}
--- a/internal/request/dispatcher/answer.go
+++ b/internal/request/dispatcher/answer.go
@@ -59,8 +59,8 @@
 // store is unavailable, other VMs would otherwise learn of it only from requests of their own.
 func (x *exchange) recordTerminated(t *tracker.Upstream) {
 	x.misdirected++
-	if t.MarkReplaced() && x.d.Ended != nil {
-		x.d.Ended(x.attempted[len(x.attempted)-1])
+	if t.MarkReplaced() && x.d.OnTerminated != nil {
+		x.d.OnTerminated(x.attempted[len(x.attempted)-1])
 	}
 }
 
--- a/internal/request/dispatcher/dispatcher.go
+++ b/internal/request/dispatcher/dispatcher.go
@@ -68,9 +68,9 @@
 		HasWarmupRoom, AcquireWarmupRoom WarmupFunc
 		// Homes assigns keys to their homes. Nil means that keys are placed by their hash.
 		Homes *assigner.Assigner
-		// Ended is called when another incarnation responds at an upstream's address. It may
-		// be nil.
-		Ended func(cataloger.Incarnation)
+		// OnTerminated is called when another incarnation responds at an upstream's address. It
+		// may be nil.
+		OnTerminated func(cataloger.Incarnation)
 		// Quarantine tracks requests that crash their upstreams and refuses those in
 		// quarantine. Nil disables it.
 		Quarantine *quarantiner.Quarantiner
@@ -88,10 +88,10 @@
 		PipelineWait func(http.ResponseWriter) timekeeper.Millis
 		// OnDecision is called with the decision on each request. It may be nil.
 		OnDecision func(*Decision)
-		// Lost is called for each connection that was lost during a request, with the state of
+		// OnLoss is called for each connection that was lost during a request, with the state of
 		// its upstream. It may be nil.
-		Lost  func(*Loss)
-		Meter *measurer.Meter
+		OnLoss func(*Loss)
+		Meter  *measurer.Meter
 		// Without is the set of mechanisms that are switched off.
 		Without switcher.Set
 		Clock   timekeeper.Clock
--- a/internal/request/dispatcher/dispatcher_test.go
+++ b/internal/request/dispatcher/dispatcher_test.go
@@ -186,7 +186,7 @@
 		is := is.New(t)
 		s := newHarness(t, kind)
 		var reported []cataloger.Incarnation
-		s.Ended = func(i cataloger.Incarnation) { reported = append(reported, i) }
+		s.OnTerminated = func(i cataloger.Incarnation) { reported = append(reported, i) }
 		var n atomic.Int64
 		serve := func(w http.ResponseWriter, r *http.Request) {
 			if n.Add(1) <= 2 {
--- a/internal/request/dispatcher/loss.go
+++ b/internal/request/dispatcher/loss.go
@@ -78,8 +78,8 @@
 		l.Suspect = d.Quarantine.RecordCrash(l.observation)
 	}
 	d.Meter.Count("upstream_losses", measurer.Labels{Service: string(l.Service), Kind: string(l.UpstreamState)})
-	if d.Lost != nil {
-		d.Lost(l)
+	if d.OnLoss != nil {
+		d.OnLoss(l)
 	}
 }
 
--- a/internal/request/dispatcher/loss_test.go
+++ b/internal/request/dispatcher/loss_test.go
@@ -41,7 +41,7 @@
 			is := is.New(t)
 			s := newHarness(t, matcher.Once)
 			losses := make(chan *dispatcher.Loss, 1)
-			s.Lost = func(l *dispatcher.Loss) { losses <- l }
+			s.OnLoss = func(l *dispatcher.Loss) { losses <- l }
 			var l *httptest.Server
 			serve := x.serve(&l)
 			l = s.add(t, "u", func(w http.ResponseWriter, r *http.Request) {
