--- a/internal/connection/linker/call.go
+++ b/internal/connection/linker/call.go
@@ -212,8 +212,8 @@
 		BodyIncluded: c.Body == nil,
 		Body:         c.ShortBody,
 		Key:          c.Key,
-		Held:         c.Held,
-		Look:         c.Look,
+		Held:         c.KeyHeld,
+		Look:         c.LookupOnly,
 		Detour:       c.Detour,
 	}
 	if c.Deadline > 0 {
--- a/internal/connection/linker/serve.go
+++ b/internal/connection/linker/serve.go
@@ -98,13 +98,13 @@
 			Header:  fromHeaders(q.Headers),
 			Length:  q.Length,
 		},
-		Key:     q.Key,
-		Held:    q.Held,
-		Look:    q.Look,
-		Detour:  q.Detour,
-		Start:   in.sendResponse,
-		Write:   func(p []byte) error { return in.writer.Bytes(framer.KindChunk, p) },
-		Trailer: func(h http.Header) { in.trailer = h },
+		Key:        q.Key,
+		KeyHeld:    q.Held,
+		LookupOnly: q.Look,
+		Detour:     q.Detour,
+		Start:      in.sendResponse,
+		Write:      func(p []byte) error { return in.writer.Bytes(framer.KindChunk, p) },
+		Trailer:    func(h http.Header) { in.trailer = h },
 	}
 	if q.RemainingMillis > 0 {
 		c.Deadline = now + timekeeper.Millis(q.RemainingMillis)
--- a/internal/request/exchanger/exchange.go
+++ b/internal/request/exchanger/exchange.go
@@ -95,12 +95,12 @@
 		// Relayed reports that another daemon handed the call over. It may then cross at most
 		// one more link, to an owner.
 		Relayed bool
-		// Key is the Idempotency-Key that the call was handed over for, "" for none. Held
-		// reports that the receiver is known to hold the key. Look means that the receiver is
-		// only asked whether it does.
-		Key  string
-		Held bool
-		Look bool
+		// Key is the Idempotency-Key that the call was handed over for, "" for none. KeyHeld
+		// reports that the receiver is known to hold the key. LookupOnly means that the receiver
+		// is only asked whether it does.
+		Key        string
+		KeyHeld    bool
+		LookupOnly bool
 		// FirstAttempt reports that the caller sends the key for the first time, so that a call
 		// which was handed to no daemon did not run.
 		FirstAttempt bool
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -117,7 +117,7 @@
 func (f *Forwarder) RunLinked(ctx context.Context, c *exchanger.Call, relay bool) exchanger.Result {
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
-	if c.Look {
+	if c.LookupOnly {
 		return f.lookUpLinked(keykeeper.Key(c.Key))
 	}
 	if !relay {
--- a/internal/request/forwarder/keyed.go
+++ b/internal/request/forwarder/keyed.go
@@ -82,7 +82,7 @@
 // runLinkedKey runs a call that was handed over because of its key.
 func (f *Forwarder) runLinkedKey(ctx context.Context, c *exchanger.Call, s *resolver.Service) exchanger.Result {
 	h, ok := f.home(f.Snapshot(), keykeeper.Key(c.Key))
-	if !c.Held && (!ok || h.Incarnation != f.Self().Incarnation) {
+	if !c.KeyHeld && (!ok || h.Incarnation != f.Self().Incarnation) {
 		// The sender knows other rosters. Neither daemon may run the call before they agree.
 		return exchanger.Lost(exchanger.ReasonKeyHomeLost, "")
 	}
@@ -148,7 +148,7 @@
 // time that keys are kept. If one of them holds the key, it settles the call; if one is gone,
 // the outcome of the key is unknown.
 func (f *Forwarder) settleAtFormerHome(ctx context.Context, c *exchanger.Call, key keykeeper.Key) (exchanger.Result, bool) {
-	if _, namesHome := keyIncarnation(key); namesHome || c.Held {
+	if _, namesHome := keyIncarnation(key); namesHome || c.KeyHeld {
 		return exchanger.Result{}, false
 	}
 	view := f.Snapshot().View
@@ -161,12 +161,12 @@
 		if !ok {
 			return exchanger.Lost(exchanger.ReasonKeyHomeLost, ""), true
 		}
-		lookup := &exchanger.Call{Head: exchanger.Head{ID: c.ID, Deadline: c.Deadline}, Key: string(key), Look: true}
+		lookup := &exchanger.Call{Head: exchanger.Head{ID: c.ID, Deadline: c.Deadline}, Key: string(key), LookupOnly: true}
 		switch r := f.handOver(ctx, lookup, m); r.Reason {
 		case exchanger.ReasonKeyUnknown:
 			continue
 		case exchanger.ReasonNone:
-			c.Held = true
+			c.KeyHeld = true
 			return f.handOver(ctx, c, m), true
 		}
 		return exchanger.Lost(exchanger.ReasonKeyHomeLost, ""), true
@@ -178,7 +178,7 @@
 // leaves, so that a retry finds the outcome.
 func (f *Forwarder) runNewKey(ctx context.Context, c *exchanger.Call, s *resolver.Service, key keykeeper.Key, r *keykeeper.Record) exchanger.Result {
 	// Without a key, a daemon that relays the call does not take itself for the key's home.
-	c.Key, c.Held = "", false
+	c.Key, c.KeyHeld = "", false
 	var rec keykeeper.Recorder
 	rec.Attach(c)
 	ignoreWriteErrors(c)
