--- a/internal/process/commander/client.go
+++ b/internal/process/commander/client.go
@@ -158,13 +158,13 @@
 
 // change requests a change and retries until its outcome is known. All attempts carry the
 // same id, so that the change is made at most once, even if several daemons accept it.
-func (c *client) change(ctx context.Context, q operator.ChangeRequest) (operator.ChangeAnswer, error) {
+func (c *client) change(ctx context.Context, q operator.ChangeRequest) (operator.ChangeResponse, error) {
 	q.ID = operator.NewChangeID()
 	body, err := json.Marshal(q)
 	if err != nil {
-		return operator.ChangeAnswer{}, err
+		return operator.ChangeResponse{}, err
 	}
-	var a operator.ChangeAnswer
+	var a operator.ChangeResponse
 	var lost bool
 	end := time.Now().Add(outcomeTimeout)
 	for {
--- a/internal/process/commander/settings.go
+++ b/internal/process/commander/settings.go
@@ -309,7 +309,7 @@
 	if err != nil {
 		return err
 	}
-	result := changeResult{ChangeAnswer: response}
+	result := changeResult{ChangeResponse: response}
 	if !response.DryRun && !f.noWait {
 		result.InForce, result.Members = cl.awaitInForce(ctx, response.Number)
 		result.AfterMillis = time.Since(began).Milliseconds()
@@ -319,7 +319,7 @@
 
 // changeResult is the JSON output of commands that change settings.
 type changeResult struct {
-	operator.ChangeAnswer
+	operator.ChangeResponse
 	InForce     int
 	Members     int
 	AfterMillis int64
--- a/internal/process/operator/api.go
+++ b/internal/process/operator/api.go
@@ -82,8 +82,8 @@
 		Force  bool
 	}
 
-	// ChangeAnswer describes an accepted change or the result of a dry run.
-	ChangeAnswer struct {
+	// ChangeResponse describes an accepted change or the result of a dry run.
+	ChangeResponse struct {
 		Number   recorder.Number
 		Edits    []resolver.Edit
 		Warnings parser.Problems `json:",omitempty"`
--- a/internal/process/operator/server.go
+++ b/internal/process/operator/server.go
@@ -231,7 +231,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return ChangeAnswer{
+	return ChangeResponse{
 		Number:    result.Change.Number,
 		Edits:     result.Edits,
 		Warnings:  result.Warnings,
--- a/internal/standin/demonstrator/operator.go
+++ b/internal/standin/demonstrator/operator.go
@@ -54,7 +54,7 @@
 }
 
 func (c operatorClient) change(ctx context.Context, req operator.ChangeRequest) (recorder.Number, error) {
-	var a operator.ChangeAnswer
+	var a operator.ChangeResponse
 	return a.Number, c.call(ctx, http.MethodPost, operator.PathChange, req, &a)
 }
 
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -190,7 +190,7 @@
 // setAndWait changes a setting through a daemon and waits until it is in force on all members.
 func (d *daemon) setAndWait(members int, value resolver.Value) recorder.Number {
 	d.t.Helper()
-	var accepted operator.ChangeAnswer
+	var accepted operator.ChangeResponse
 	eventually(d.t, "the change is accepted", func() bool {
 		return d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{
 			Edits: []resolver.Edit{{Path: "/", Key: resolver.KeyQueueLength, Value: value}},
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -334,7 +334,7 @@
 	d.t.Helper()
 	is := is.New(d.t)
 	d.waitReady()
-	var accepted operator.ChangeAnswer
+	var accepted operator.ChangeResponse
 	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{TOML: text}, &accepted), http.StatusOK)
 	eventually(d.t, "settings are in force on all members", func() bool {
 		var status operator.InForceResponse
--- a/test/measure_test.go
+++ b/test/measure_test.go
@@ -268,7 +268,7 @@
 				var durations []time.Duration
 				for i := range changes {
 					began := time.Now()
-					var accepted operator.ChangeAnswer
+					var accepted operator.ChangeResponse
 					all[i%n].callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{
 						Edits: []resolver.Edit{{Path: "/", Key: resolver.KeySlots, Value: resolver.Value(fmt.Sprint(i%7 + 1))}},
 					}, &accepted)
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -186,11 +186,11 @@
 	d := startDaemon(t, daemonOptions{name: "erie-1", region: "erie", domain: "a", platform: address})
 	d.applySettings(1, fmt.Sprintf(oneSiteSettings, "127.0.0.1:9"))
 	setFaults(t, address, platform.Faults{LoseAnswers: 3, LosePrefix: "Settings/"})
-	var accepted operator.ChangeAnswer
+	var accepted operator.ChangeResponse
 	edits := []resolver.Edit{{Path: "erie", Key: resolver.KeyLimit, Value: "60%"}}
 	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{ID: "mine", Edits: edits}, &accepted), http.StatusOK)
 	is.Equal(int(accepted.Number), 2)
-	var again operator.ChangeAnswer
+	var again operator.ChangeResponse
 	is.Equal(d.callOperator(http.MethodPost, operator.PathChange, operator.ChangeRequest{ID: "mine", Edits: edits}, &again), http.StatusOK)
 	is.Equal(again.Number, accepted.Number)
 	var log operator.LogResponse
