--- a/internal/process/runner/daemon.go
+++ b/internal/process/runner/daemon.go
@@ -415,7 +415,7 @@
 			{Method: http.MethodGet, Path: operator.PathHealth, Handler: d.serveHealth},
 		},
 		Fallback:     d.forwarder,
-		BypassRoutes: d.forwarder.NamesService,
+		BypassRoutes: d.forwarder.SelectsService,
 	})
 }
 
--- a/internal/process/runner/quarantine.go
+++ b/internal/process/runner/quarantine.go
@@ -148,5 +148,5 @@
 			names = append(names, string(m.Incarnation))
 		}
 	}
-	return quarantiner.IsTurn(f, over, string(d.self.Incarnation), names)
+	return quarantiner.IsTrialTurn(f, over, string(d.self.Incarnation), names)
 }
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -99,9 +99,9 @@
 	return f.runKeyed(ctx, c, s, keykeeper.Key(key))
 }
 
-// NamesService reports whether a request names a service. Its path is then not one of the
-// daemon's own.
-func (f *Forwarder) NamesService(r *http.Request) bool {
+// SelectsService reports whether a request selects a service, by header or by host. Its path is
+// then not one of the daemon's own.
+func (f *Forwarder) SelectsService(r *http.Request) bool {
 	if r.Header.Get(HeaderService) != "" {
 		return true
 	}
--- a/internal/request/quarantiner/quarantiner_test.go
+++ b/internal/request/quarantiner/quarantiner_test.go
@@ -246,7 +246,7 @@
 	for over := timekeeper.Millis(0); over < 8*quarantiner.TrialInterval; over += quarantiner.TrialInterval / 2 {
 		holders := 0
 		for _, name := range all {
-			if quarantiner.IsTurn(crashing, over, name, all) {
+			if quarantiner.IsTrialTurn(crashing, over, name, all) {
 				turns[name]++
 				holders++
 			}
--- a/internal/request/quarantiner/suspect.go
+++ b/internal/request/quarantiner/suspect.go
@@ -85,10 +85,10 @@
 	return hasher.Mix(h, hasher.Hash(s.Clearings)<<32|hasher.Hash(s.Crashes))
 }
 
-// IsTurn reports whether it is the turn of daemon self to let a request through whose quarantine
-// has been over for the given time. All daemons take turns of TrialInterval, in an order that
-// depends on the request.
-func IsTurn(f Fingerprint, over timekeeper.Millis, self string, all []string) bool {
+// IsTrialTurn reports whether it is the turn of daemon self to let a request through whose
+// quarantine has been over for the given time. All daemons take turns of TrialInterval, in an
+// order that depends on the request.
+func IsTrialTurn(f Fingerprint, over timekeeper.Millis, self string, all []string) bool {
 	if len(all) == 0 {
 		return true
 	}
