--- a/internal/request/assigner/former.go
+++ b/internal/request/assigner/former.go
@@ -45,8 +45,8 @@
 	return l
 }
 
-// RanAt reports whether an upstream other than its home ran a key recently.
-func (a *Assigner) RanAt(key hasher.Hash, u *cataloger.Upstream) bool {
+// IsFormerHome reports whether an upstream other than its home ran a key recently.
+func (a *Assigner) IsFormerHome(key hasher.Hash, u *cataloger.Upstream) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	h := a.homes[key]
--- a/internal/request/assigner/placement.go
+++ b/internal/request/assigner/placement.go
@@ -49,8 +49,8 @@
 	// RetriedElsewhere means a retry at another upstream, after an attempt that was refused or
 	// failed.
 	RetriedElsewhere Reason = "repeat elsewhere"
-	// RetriedThere means a retry at the upstream that refused the previous attempt.
-	RetriedThere Reason = "repeat there"
+	// RetriedAtSameUpstream means a retry at the upstream that refused the previous attempt.
+	RetriedAtSameUpstream Reason = "repeat there"
 	// NoKey means that the request has no key, or its route does not use homes: it is placed
 	// by its hash.
 	NoKey Reason = "no key"
--- a/internal/request/dispatcher/placement.go
+++ b/internal/request/dispatcher/placement.go
@@ -17,7 +17,7 @@
 	case x.isolated():
 		p.Reason = assigner.Isolated
 	case len(x.attempted) > 0 && x.attempted[len(x.attempted)-1] == u.Incarnation():
-		p.Reason = assigner.RetriedThere
+		p.Reason = assigner.RetriedAtSameUpstream
 	case len(x.attempted) > 0:
 		p.Reason = assigner.RetriedElsewhere
 	case !x.hasHome():
@@ -26,7 +26,7 @@
 		return x.homePlacement
 	default:
 		p.Reason = assigner.HomePassedOver
-		p.Former = x.d.Homes.RanAt(x.key, u)
+		p.Former = x.d.Homes.IsFormerHome(x.key, u)
 	}
 	return p
 }
