--- a/internal/connection/pipeliner/server.go
+++ b/internal/connection/pipeliner/server.go
@@ -59,9 +59,9 @@
 		// MayOverlap reports whether a request without a body may be handled concurrently
 		// with others of its connection. Nil allows none.
 		MayOverlap func(*http.Request) bool
-		// Leaving reports whether connections are to be closed. Each is closed after its
+		// Draining reports whether connections are to be closed. Each is closed after its
 		// next response that has no started request after it. Nil means never.
-		Leaving func() bool
+		Draining func() bool
 		// HeadTimeout returns how long a head may take from its first byte, and
 		// IdleTimeout how long a connection may wait for one. They are called again each
 		// time. Nil or a result of 0 means no limit.
@@ -189,7 +189,7 @@
 
 // isDraining reports whether connections are to be closed.
 func (s *Server) isDraining() bool {
-	return s.stopping.Load() || s.Leaving != nil && s.Leaving()
+	return s.stopping.Load() || s.Draining != nil && s.Draining()
 }
 
 func (s *Server) mayOverlap(r *http.Request) bool {
--- a/internal/connection/pipeliner/server_test.go
+++ b/internal/connection/pipeliner/server_test.go
@@ -45,7 +45,7 @@
 	s.server = &pipeliner.Server{
 		Handler:    s,
 		MayOverlap: func(r *http.Request) bool { return r.Method == http.MethodGet },
-		Leaving:    s.leaving.Load,
+		Draining:   s.leaving.Load,
 	}
 	s.address = listen(t, s.server.Serve)
 	t.Cleanup(s.server.Close)
--- a/internal/connection/pooler/owner.go
+++ b/internal/connection/pooler/owner.go
@@ -23,8 +23,8 @@
 		Service resolver.ServiceName
 	}
 
-	// Owned describes one pool: its settings and the addresses of the upstreams to own.
-	Owned struct {
+	// PoolConfig describes one pool: its settings and the addresses of the upstreams to own.
+	PoolConfig struct {
 		Settings  *resolver.Service
 		Upstreams []string
 	}
@@ -58,10 +58,10 @@
 	}
 )
 
-// Set makes the owner own exactly the given upstreams. A new one is unclaimed and
-// gets no requests until Claimed confirms that no other daemon sends to it. Set
-// returns the addresses that are unclaimed.
-func (o *Owner) Set(wanted map[Key]Owned) []string {
+// SetUpstreams makes the owner own exactly the given upstreams. A new one is unclaimed
+// and gets no requests until Claimed confirms that no other daemon sends to it.
+// SetUpstreams returns the addresses that are unclaimed.
+func (o *Owner) SetUpstreams(wanted map[Key]PoolConfig) []string {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	if o.pools == nil {
@@ -80,7 +80,7 @@
 	}
 	for k, p := range o.pools {
 		if _, ok := wanted[k]; !ok {
-			p.set(Owned{Settings: p.settings})
+			p.set(PoolConfig{Settings: p.settings})
 		}
 	}
 	return unclaimed
@@ -93,7 +93,7 @@
 	return o.Dial
 }
 
-func (p *Pool) set(w Owned) []string {
+func (p *Pool) set(w PoolConfig) []string {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.settings = w.Settings
--- a/internal/connection/pooler/pool_test.go
+++ b/internal/connection/pooler/pool_test.go
@@ -48,7 +48,7 @@
 // ownUpstreams makes o own and claim the upstreams, and advances the clock past their
 // ramp-up.
 func ownUpstreams(o *pooler.Owner, c *clock, s *resolver.Service) {
-	for _, u := range o.Set(map[pooler.Key]pooler.Owned{key: {Settings: s, Upstreams: s.Upstreams}}) {
+	for _, u := range o.SetUpstreams(map[pooler.Key]pooler.PoolConfig{key: {Settings: s, Upstreams: s.Upstreams}}) {
 		o.Claimed(u, 0)
 	}
 	c.now.Add(60000)
@@ -176,7 +176,7 @@
 	go func() { results <- o.Run(context.Background(), call("x", nil, io.Discard)) }()
 	<-entered
 	is.Equal(o.Release(address), 1)
-	o.Set(nil)
+	o.SetUpstreams(nil)
 	r := o.Run(context.Background(), call("y", nil, io.Discard))
 	is.Equal(r.Outcome, exchanger.NotRun)
 	close(leave)
--- a/internal/connection/pooler/slot_test.go
+++ b/internal/connection/pooler/slot_test.go
@@ -40,7 +40,7 @@
 	o, _ := newOwner(settings(1, 10, address))
 	for _, slots := range []int{1, 6, 2} {
 		set := settings(slots, 10, address)
-		o.Set(map[pooler.Key]pooler.Owned{key: {Settings: set, Upstreams: set.Upstreams}})
+		o.SetUpstreams(map[pooler.Key]pooler.PoolConfig{key: {Settings: set, Upstreams: set.Upstreams}})
 		useAllSlots(t, o, slots, entered, leave)
 	}
 }
--- a/internal/process/claimer/claimer.go
+++ b/internal/process/claimer/claimer.go
@@ -66,7 +66,7 @@
 	c.view = view
 	c.versions = versions
 	wanted, sites := c.owned(view, settings)
-	added := c.Owner.Set(wanted)
+	added := c.Owner.SetUpstreams(wanted)
 	old := c.wanted
 	c.wanted = map[string]*claim{}
 	for _, u := range added {
@@ -85,9 +85,9 @@
 }
 
 // owned returns the upstreams assigned to this daemon, and the site of each.
-func (c *Claimer) owned(view *registrar.View, settings *resolver.Resolved) (map[pooler.Key]pooler.Owned, map[string]registrar.Site) {
+func (c *Claimer) owned(view *registrar.View, settings *resolver.Resolved) (map[pooler.Key]pooler.PoolConfig, map[string]registrar.Site) {
 	me := c.Self().Incarnation
-	wanted := map[pooler.Key]pooler.Owned{}
+	wanted := map[pooler.Key]pooler.PoolConfig{}
 	sites := map[string]registrar.Site{}
 	for _, site := range settings.Sites {
 		serving := view.Serving(site)
--- a/internal/process/fronter/fronter.go
+++ b/internal/process/fronter/fronter.go
@@ -322,7 +322,7 @@
 	return &pipeliner.Server{
 		Handler:      f.dispatcher,
 		MayOverlap:   f.dispatcher.MayOverlap,
-		Leaving:      func() bool { return f.StopsAt() != 0 },
+		Draining:     func() bool { return f.StopsAt() != 0 },
 		HeadTimeout:  func() timekeeper.Millis { return f.limits().HeaderTimeout },
 		IdleTimeout:  func() timekeeper.Millis { return f.limits().IdleTimeout },
 		MaxHeadBytes: maxHeaderBytes,
--- a/internal/process/runner/daemon.go
+++ b/internal/process/runner/daemon.go
@@ -369,7 +369,7 @@
 	callerServer := &pipeliner.Server{
 		Handler:      callers,
 		MayOverlap:   d.forwarder.MayOverlap,
-		Leaving:      d.leaving.Load,
+		Draining:     d.leaving.Load,
 		HeadTimeout:  func() timekeeper.Millis { return headTimeout },
 		IdleTimeout:  func() timekeeper.Millis { return idleTimeout },
 		MaxHeadBytes: maxHeadBytes,
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -51,7 +51,7 @@
 	clock := timekeeper.Clock{Monotonic: func() timekeeper.Millis { return timekeeper.Millis(now.Load()) }}
 	owner := &pooler.Owner{Clock: clock}
 	set := settings.At(site, service)
-	for _, a := range owner.Set(map[pooler.Key]pooler.Owned{{Site: site, Service: service}: {Settings: set, Upstreams: set.Upstreams}}) {
+	for _, a := range owner.SetUpstreams(map[pooler.Key]pooler.PoolConfig{{Site: site, Service: service}: {Settings: set, Upstreams: set.Upstreams}}) {
 		owner.Claimed(a, 0)
 	}
 	now.Add(int64(timekeeper.Hour))
