--- a/internal/connection/tracker/upstream.go
+++ b/internal/connection/tracker/upstream.go
@@ -193,9 +193,9 @@
 	return u.coldLimiter(perSecond, burst).Tokens() >= 1
 }
 
-// TakeWarmup takes one token from the rate limit while the upstream is cold, and reports
-// whether there was one.
-func (u *Upstream) TakeWarmup(perSecond float64, burst int) bool {
+// TakeWarmupToken takes one token from the rate limit while the upstream is cold, and
+// reports whether there was one.
+func (u *Upstream) TakeWarmupToken(perSecond float64, burst int) bool {
 	u.lock.Lock()
 	defer u.lock.Unlock()
 	return u.coldLimiter(perSecond, burst).Allow()
--- a/internal/process/fronter/bounds.go
+++ b/internal/process/fronter/bounds.go
@@ -87,7 +87,7 @@
 // acquireWarmupRoom takes one request from this member's part of a cold upstream's warm-up
 // rate and reports whether there was room.
 func (f *Fronter) acquireWarmupRoom(u *cataloger.Upstream, t *tracker.Upstream) bool {
-	return t.TakeWarmup(f.warmupRate(u), warmupBurst)
+	return t.TakeWarmupToken(f.warmupRate(u), warmupBurst)
 }
 
 // warmupRate returns a sender's part of a cold upstream's warm-up rate, in requests per
--- a/pkg/packer/pack.go
+++ b/pkg/packer/pack.go
@@ -52,16 +52,16 @@
 
 // Unpack decodes a body, compressed or not, into v.
 func Unpack(body []byte, v any) error {
-	plain, err := Plain(body)
+	plain, err := Decompress(body)
 	if err != nil {
 		return err
 	}
 	return eris.Wrap(json.Unmarshal(plain, v), "unpack")
 }
 
-// Plain returns the JSON text of a body, decompressed if necessary. The result may
-// share memory with body.
-func Plain(body []byte) ([]byte, error) {
+// Decompress returns the JSON text of a body, decompressed if necessary. The result
+// may share memory with body.
+func Decompress(body []byte) ([]byte, error) {
 	if !bytes.HasPrefix(body, gzipMagic) {
 		return body, nil
 	}
--- a/pkg/packer/pack_test.go
+++ b/pkg/packer/pack_test.go
@@ -49,7 +49,7 @@
 	is.True(packer.Unpack(nil, &v) != nil)
 }
 
-// FuzzUnpack checks that no input makes Plain panic or decompress beyond MaxBytes.
+// FuzzUnpack checks that no input makes Decompress panic or decompress beyond MaxBytes.
 func FuzzUnpack(f *testing.F) {
 	long, err := packer.Pack(strings.Repeat("erie/a", 500))
 	if err != nil {
@@ -59,7 +59,7 @@
 	f.Add([]byte(`{"Region":"erie"}`))
 	f.Add([]byte{0x1f, 0x8b, 8})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		p, err := packer.Plain(b)
+		p, err := packer.Decompress(b)
 		if err == nil && len(p) > packer.MaxBytes && !bytes.Equal(p, b) {
 			t.Fatalf("decompressed to %d bytes, more than MaxBytes", len(p))
 		}
