--- a/internal/process/operator/server.go
+++ b/internal/process/operator/server.go
@@ -154,9 +154,9 @@
 		return nil, inputError{err.Error()}
 	}
 	t, n := s.Applier.State()
-	beneath := t.Beneath(p)
-	beneath = slices.DeleteFunc(beneath, func(e resolver.Edit) bool { return e.Path == p.String() })
-	return SettingsResponse{Number: n, Path: p.String(), Values: t.Explain(p), Beneath: beneath}, nil
+	below := t.EditsBelow(p)
+	below = slices.DeleteFunc(below, func(e resolver.Edit) bool { return e.Path == p.String() })
+	return SettingsResponse{Number: n, Path: p.String(), Values: t.Explain(p), Beneath: below}, nil
 }
 
 func (s *Server) toml(context.Context, identity, *http.Request) (any, error) {
--- a/internal/process/runner/assemble.go
+++ b/internal/process/runner/assemble.go
@@ -146,8 +146,8 @@
 
 // buildSnapshot builds the next snapshot and puts it in force.
 func (d *Daemon) buildSnapshot() {
-	parts, rosterVersions := d.parts()
-	next, err := steerer.Build(parts)
+	inputs, rosterVersions := d.snapshotInputs()
+	next, err := steerer.Build(inputs)
 	if err != nil {
 		d.log.WithError(err).Error("cannot build snapshot")
 		return
@@ -163,9 +163,9 @@
 	d.joiner.TriggerHeartbeat()
 }
 
-// parts returns the parts of the next snapshot and the roster version of each
+// snapshotInputs returns the inputs of the next snapshot and the roster version of each
 // region.
-func (d *Daemon) parts() (steerer.Parts, map[string]uint64) {
+func (d *Daemon) snapshotInputs() (steerer.Inputs, map[string]uint64) {
 	i := &d.inputs
 	i.lock.Lock()
 	defer i.lock.Unlock()
@@ -183,7 +183,7 @@
 		rosters = append(rosters, r)
 		versions[r.Region] = r.Version
 	}
-	return steerer.Parts{
+	return steerer.Inputs{
 		Settings: i.resolved,
 		Number:   number,
 		Plan:     i.plan,
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -224,13 +224,13 @@
 		if err != nil {
 			return locator.Block{}, fmt.Errorf("%s %q is not an IP number", HeaderBlock, h)
 		}
-		return s.Find(a), nil
+		return s.BlockOf(a), nil
 	}
 	a, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
 		return locator.Block{}, fmt.Errorf("no address of the caller: %w", err)
 	}
-	return s.Find(a.Addr()), nil
+	return s.BlockOf(a.Addr()), nil
 }
 
 // deadline returns when the caller stops waiting, by the monotonic clock; 0 means never.
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -43,7 +43,7 @@
 	self := registrar.Member{Incarnation: "a", Site: site}
 	view := registrar.NewView([]registrar.Roster{{Region: site.Region(), Members: []registrar.Member{self}}})
 	var blocks locator.Builder
-	snapshot, err := steerer.Build(steerer.Parts{Settings: settings, View: view, Table: blocks.Table(), Home: site, Self: self})
+	snapshot, err := steerer.Build(steerer.Inputs{Settings: settings, View: view, Table: blocks.Table(), Home: site, Self: self})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,9 +120,9 @@
 	former := startPeer(t, "b", func() exchanger.Result { return exchanger.Refused(exchanger.ReasonNotOwner, 0) })
 	owner := startPeer(t, "c", func() exchanger.Result { return exchanger.Result{Outcome: exchanger.Answered, Whole: true} })
 	view := registrar.NewView([]registrar.Roster{{Region: site.Region(), Members: []registrar.Member{former, owner}}})
-	parts := f.Snapshot().Parts
-	parts.View = view
-	snapshot, err := steerer.Build(parts)
+	inputs := f.Snapshot().Inputs
+	inputs.View = view
+	snapshot, err := steerer.Build(inputs)
 	is.NoErr(err)
 	f.Snapshot = func() *steerer.Snapshot { return snapshot }
 	f.Links = &linker.Manager{Self: f.Self}
--- a/internal/request/looker/looker.go
+++ b/internal/request/looker/looker.go
@@ -51,7 +51,7 @@
 		h.writeError(w, http.StatusBadRequest, ErrorBody{"Block", err.Error()})
 		return
 	}
-	response := s.Response(service, s.Find(block))
+	response := s.Response(service, s.BlockOf(block))
 	if response == nil {
 		h.writeError(w, http.StatusServiceUnavailable, ErrorBody{"Service", fmt.Sprintf("no entry serves %s now", service)})
 		return
--- a/internal/version/applier/applier.go
+++ b/internal/version/applier/applier.go
@@ -144,6 +144,6 @@
 // Snapshot returns the state as a snapshot.
 func (a *Applier) Snapshot() (recorder.Snapshot, error) {
 	t, n := a.State()
-	body, err := json.Marshal(t.Beneath(resolver.Path{}))
+	body, err := json.Marshal(t.EditsBelow(resolver.Path{}))
 	return recorder.Snapshot{Number: n, Body: body}, err
 }
--- a/internal/version/planner/loss.go
+++ b/internal/version/planner/loss.go
@@ -46,7 +46,7 @@
 	var out []Loss
 	for _, name := range lossScopes(r) {
 		lost := func(s registrar.Site) bool { return string(s) == name || s.Region() == name }
-		remaining := r.Without(lost)
+		remaining := r.WithoutUpstreamsAt(lost)
 		uses := Predict(remaining, l, wall)
 		out = append(out, lossOf(name, remaining, l, uses, wall))
 		for k, free := range headroomByRegion(uses) {
--- a/internal/version/resolver/toml.go
+++ b/internal/version/resolver/toml.go
@@ -78,7 +78,7 @@
 func (t Tree) TOML() string {
 	var b strings.Builder
 	var last Path
-	for i, e := range t.Beneath(Path{}) {
+	for i, e := range t.EditsBelow(Path{}) {
 		p, _ := ParsePath(e.Path)
 		if p != last {
 			if i > 0 {
--- a/internal/version/resolver/tree.go
+++ b/internal/version/resolver/tree.go
@@ -176,8 +176,8 @@
 	return out
 }
 
-// Beneath returns the edits that recreate every value set at p or below it.
-func (t Tree) Beneath(p Path) []Edit {
+// EditsBelow returns the edits that recreate every value set at p or below it.
+func (t Tree) EditsBelow(p Path) []Edit {
 	var out []Edit
 	for _, q := range t.Paths() {
 		if !p.Covers(q) {
@@ -210,13 +210,13 @@
 // Difference returns the edits that turn t into u.
 func (t Tree) Difference(u Tree) []Edit {
 	var out []Edit
-	for _, e := range t.Beneath(Path{}) {
+	for _, e := range t.EditsBelow(Path{}) {
 		p, _ := ParsePath(e.Path)
 		if _, ok := u.nodes[p][e.Key]; !ok {
 			out = append(out, Edit{Path: e.Path, Key: e.Key, Unset: true})
 		}
 	}
-	for _, e := range u.Beneath(Path{}) {
+	for _, e := range u.EditsBelow(Path{}) {
 		p, _ := ParsePath(e.Path)
 		if v, ok := t.nodes[p][e.Key]; !ok || v != e.Value {
 			out = append(out, e)
--- a/internal/version/resolver/without.go
+++ b/internal/version/resolver/without.go
@@ -2,9 +2,9 @@
 
 import "github.com/gullvale/gullvale/pkg/registrar"
 
-// Without returns a copy of r in which the sites selected by lost have no upstreams.
-// Their callers remain.
-func (r *Resolved) Without(lost func(registrar.Site) bool) *Resolved {
+// WithoutUpstreamsAt returns a copy of r in which the sites selected by lost have no
+// upstreams. Their callers remain.
+func (r *Resolved) WithoutUpstreamsAt(lost func(registrar.Site) bool) *Resolved {
 	next := *r
 	next.bySite = make(map[registrar.Site]map[ServiceName]*Service, len(r.bySite))
 	for site, services := range r.bySite {
--- a/internal/version/steerer/lookup_test.go
+++ b/internal/version/steerer/lookup_test.go
@@ -67,7 +67,7 @@
 	if len(problems) > 0 {
 		tb.Fatal(problems)
 	}
-	s, err := steerer.Build(steerer.Parts{
+	s, err := steerer.Build(steerer.Inputs{
 		Settings: tree.Resolve(), View: registrar.NewView(rosters), Table: table(tb, blocks, sites), Home: sites[0],
 	})
 	if err != nil {
@@ -81,7 +81,7 @@
 	s := snapshot(t, 3, 2, 2, 1000)
 	firsts := map[string]bool{}
 	for i := range 1000 {
-		b := s.Find(blockAddress(i))
+		b := s.BlockOf(blockAddress(i))
 		var response steerer.Response
 		is.NoErr(json.Unmarshal(s.Response("keg-ledger", b), &response))
 		is.Equal(response.Site, s.Site("keg-ledger", b))
@@ -109,7 +109,7 @@
 	is := is.New(t)
 	s := snapshot(t, 3, 2, 2, 1000)
 	a := netip.MustParseAddr("10.1.2.3")
-	is.Equal(testing.AllocsPerRun(1000, func() { s.Response("keg-ledger", s.Find(a)) }), 0.0)
+	is.Equal(testing.AllocsPerRun(1000, func() { s.Response("keg-ledger", s.BlockOf(a)) }), 0.0)
 }
 
 // BenchmarkLookup measures lookups for growing tables of client blocks, with 3 regions
@@ -130,7 +130,7 @@
 					i++
 					var a [4]byte
 					binary.BigEndian.PutUint32(a[:], i*2654435761)
-					s.Response("keg-ledger", s.Find(netip.AddrFrom4(a)))
+					s.Response("keg-ledger", s.BlockOf(netip.AddrFrom4(a)))
 				}
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/(1<<20), "MB")
 			})
@@ -145,7 +145,7 @@
 		b.Run(fmt.Sprintf("%dsites", shape[0]*shape[1]), func(b *testing.B) {
 			s := snapshot(b, shape[0], shape[1], shape[2], 100)
 			for b.Loop() {
-				if _, err := steerer.Build(s.Parts); err != nil {
+				if _, err := steerer.Build(s.Inputs); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/version/steerer/snapshot.go
+++ b/internal/version/steerer/snapshot.go
@@ -21,8 +21,8 @@
 const unknownOrigin registrar.Site = ""
 
 type (
-	// Parts holds the inputs of a snapshot.
-	Parts struct {
+	// Inputs holds what a snapshot is built from.
+	Inputs struct {
 		Settings *resolver.Resolved
 		Number   recorder.Number
 		Plan     planner.Plan
@@ -42,7 +42,7 @@
 
 	// Snapshot is one immutable version of all routing state.
 	Snapshot struct {
-		Parts
+		Inputs
 		routes    map[routeKey]*route
 		responses map[responseKey][][]byte
 	}
@@ -84,10 +84,10 @@
 	}
 )
 
-// Build returns a snapshot of p.
-func Build(p Parts) (*Snapshot, error) {
-	s := &Snapshot{Parts: p, routes: map[routeKey]*route{}, responses: map[responseKey][][]byte{}}
-	for _, service := range p.Settings.Services {
+// Build returns a snapshot of the given inputs.
+func Build(inputs Inputs) (*Snapshot, error) {
+	s := &Snapshot{Inputs: inputs, routes: map[routeKey]*route{}, responses: map[responseKey][][]byte{}}
+	for _, service := range inputs.Settings.Services {
 		if err := s.addService(service); err != nil {
 			return nil, err
 		}
@@ -223,9 +223,9 @@
 	return out
 }
 
-// Find returns the block of an address. For an address outside all blocks, the origin
+// BlockOf returns the block of an address. For an address outside all blocks, the origin
 // is the site of this daemon.
-func (s *Snapshot) Find(a netip.Addr) locator.Block {
+func (s *Snapshot) BlockOf(a netip.Addr) locator.Block {
 	b := s.Table.Find(a)
 	if b.Origin == "" {
 		b.Origin = s.Home
