--- a/internal/process/claimer/claimer_test.go
+++ b/internal/process/claimer/claimer_test.go
@@ -73,9 +73,10 @@
 	}
 }
 
-// TestTransferNeverExceedsUpstreamSlots marks daemons as leaving and not leaving under load, and delivers
-// each change to the daemons at different times. No upstream may ever receive more requests
-// at once than it has slots, and in the end each must have exactly one owner.
+// TestTransferNeverExceedsUpstreamSlots marks daemons as leaving and not leaving under
+// load, and delivers each change to the daemons at different times. No upstream may ever
+// receive more requests at once than it has slots, and in the end each must have exactly
+// one owner.
 func TestTransferNeverExceedsUpstreamSlots(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/process/commander/change_test.go
+++ b/internal/process/commander/change_test.go
@@ -14,9 +14,9 @@
 	"github.com/gullvale/gullvale/pkg/recorder"
 )
 
-// TestRefusalAfterLostResponseLeavesOutcomeUnknown guards against a change that is reported as refused
-// although the first daemon made it and its response was lost. The operator would then
-// request it again.
+// TestRefusalAfterLostResponseLeavesOutcomeUnknown guards against a change that is
+// reported as refused although the first daemon made it and its response was lost. The
+// operator would then request it again.
 func TestRefusalAfterLostResponseLeavesOutcomeUnknown(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/process/fronter/disabled_test.go
+++ b/internal/process/fronter/disabled_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestDisabledMechanismsAreReported checks that a log line and a metric name the disabled mechanisms, and
-// that there is neither if all are enabled.
+// TestDisabledMechanismsAreReported checks that a log line and a metric name the disabled
+// mechanisms, and that there is neither if all are enabled.
 func TestDisabledMechanismsAreReported(t *testing.T) {
 	for _, s := range []switcher.Set{0, switcher.Of(switcher.Homes, switcher.Rank)} {
 		t.Run(s.String(), func(t *testing.T) {
--- a/internal/process/fronter/start_test.go
+++ b/internal/process/fronter/start_test.go
@@ -62,8 +62,9 @@
 	is.Equal(<-status, http.StatusNotFound)
 }
 
-// TestRequestsAreRefusedAfterStartupTimeout guards against callers that wait for an entry whose startup does not
-// complete: the first is refused after the timeout, later ones at once.
+// TestRequestsAreRefusedAfterStartupTimeout guards against callers that wait for an
+// entry whose startup does not complete: the first is refused after the timeout, later
+// ones at once.
 func TestRequestsAreRefusedAfterStartupTimeout(t *testing.T) {
 	is := is.New(t)
 	f := newStartingEntry(t)
--- a/internal/process/fronter/traffic.go
+++ b/internal/process/fronter/traffic.go
@@ -16,8 +16,7 @@
 const upstreamTraffic = "upstream"
 
 // byteCounter returns a counter of the bytes to and from an upstream, so that operators see
-// the traffic between failure domains. Its cost is below the noise of
-// BenchmarkExchange.
+// the traffic between failure domains.
 func (f *Fronter) byteCounter(u *cataloger.Upstream) sender.Counter {
 	l := measurer.Labels{
 		Service: string(u.Service),
--- a/internal/process/heartbeater/suspects_test.go
+++ b/internal/process/heartbeater/suspects_test.go
@@ -47,9 +47,9 @@
 	return m.Quarantine.Check(crashing, quarantiner.Observation{}).Refused
 }
 
-// TestSuspectsReachAllMembers has one request crash an upstream at each of three members in different
-// regions. Without loss, all members must bar it before the next heartbeat; with one datagram
-// in three lost, within the 4 s that the platform relies on.
+// TestSuspectsReachAllMembers has one request crash an upstream at each of three members in
+// different regions. Without loss, all members must bar it before the next heartbeat; with one
+// datagram in three lost, within the 4 s that the platform relies on.
 func TestSuspectsReachAllMembers(t *testing.T) {
 	for _, size := range []int{9, 60, 295} {
 		for _, loss := range []float64{0, 0.33} {
@@ -98,8 +98,8 @@
 	return true
 }
 
-// TestSuspectsReachNewAndReconnectedMembers starts a member, and reconnects one with an outdated view,
-// after one request was quarantined and another cleared. Both must catch up.
+// TestSuspectsReachNewAndReconnectedMembers starts a member, and reconnects one with an
+// outdated view, after one request was quarantined and another cleared. Both must catch up.
 func TestSuspectsReachNewAndReconnectedMembers(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
--- a/internal/process/heartbeater/traffic_test.go
+++ b/internal/process/heartbeater/traffic_test.go
@@ -17,8 +17,9 @@
 	distance registrar.Distance
 }
 
-// TestTrafficIsCountedByPurposeAndDistance has members in two failure domains of a region and in another
-// region. The bytes sent and received must agree by purpose and distance.
+// TestTrafficIsCountedByPurposeAndDistance has members in two failure domains of a
+// region and in another region. The bytes sent and received must agree by purpose and
+// distance.
 func TestTrafficIsCountedByPurposeAndDistance(t *testing.T) {
 	is := is.New(t)
 	n := newNetwork()
--- a/internal/request/dispatcher/retries.go
+++ b/internal/request/dispatcher/retries.go
@@ -7,8 +7,9 @@
 	"github.com/gullvale/gullvale/pkg/timekeeper"
 )
 
-// safetyFactor is the part of the allowed ratio that this daemon uses. The rest covers
-// requests that were counted here but ended in the previous window.
+// safetyFactor is the part of the allowed ratio that this daemon uses. The windowSpans spans
+// reach up to one span further back than the sliding window, so they also count requests that
+// ended before it. The rest of the ratio covers these.
 const safetyFactor = 0.8
 
 type (
--- a/test/entry_test.go
+++ b/test/entry_test.go
@@ -42,8 +42,8 @@
 }
 
 // TestUnknownMechanismsAreRefused starts daemons with unknown names in --without. They must exit
-// before they open files or listeners, with an error that names the unknown mechanisms and the valid
-// ones.
+// before they open files or listeners, with an error that names the unknown mechanisms and the
+// valid ones.
 func TestUnknownMechanismsAreRefused(t *testing.T) {
 	for _, args := range [][]string{{"entry", "--table", "none.toml"}, {"platform"}} {
 		t.Run(args[0], func(t *testing.T) {
--- a/test/faults_test.go
+++ b/test/faults_test.go
@@ -281,8 +281,8 @@
 }
 
 // TestDomainRestartDuringPlatformOutage kills and restarts the only daemon of a failure domain
-// while the platform is down. Another daemon of the region takes over its upstreams in the meantime,
-// and the restarted daemon gets its settings from that peer.
+// while the platform is down. Another daemon of the region takes over its upstreams in the
+// meantime, and the restarted daemon gets its settings from that peer.
 func TestDomainRestartDuringPlatformOutage(t *testing.T) {
 	address := startPlatform(t)
 	text, upstreams := startTwoUpstreams(t)
--- a/test/keys_test.go
+++ b/test/keys_test.go
@@ -42,8 +42,9 @@
 	return resp.Header.Get("Gullvale-Outcome"), string(b), resp.Header.Get("Gullvale-Replayed") != "", err
 }
 
-// TestFirstAttemptForLostHomeIsNotRun sends a key whose home is not a member. The outcome is unknown,
-// because an earlier attempt may have run, unless the request is marked as the first attempt.
+// TestFirstAttemptForLostHomeIsNotRun sends a key whose home is not a member. The outcome is
+// unknown, because an earlier attempt may have run, unless the request is marked as the first
+// attempt.
 func TestFirstAttemptForLostHomeIsNotRun(t *testing.T) {
 	is := is.New(t)
 	text, _ := startTwoUpstreams(t)
