--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -99,9 +99,9 @@
 	return f.runKeyed(ctx, c, s, keykeeper.Key(key))
 }
 
-// NamesService reports whether a request names a service. Its path is then not one of the
-// daemon's own.
-func (f *Forwarder) NamesService(r *http.Request) bool {
+// SelectsService reports whether a request selects a service, by header or by host. Its path is
+// then not one of the daemon's own.
+func (f *Forwarder) SelectsService(r *http.Request) bool {
 	if r.Header.Get(HeaderService) != "" {
 		return true
 	}
@@ -117,7 +117,7 @@
 func (f *Forwarder) RunLinked(ctx context.Context, c *exchanger.Call, relay bool) exchanger.Result {
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
-	if c.Look {
+	if c.LookupOnly {
 		return f.lookUpLinked(keykeeper.Key(c.Key))
 	}
 	if !relay {
@@ -224,13 +224,13 @@
 		if err != nil {
 			return locator.Block{}, fmt.Errorf("%s %q is not an IP number", HeaderBlock, h)
 		}
-		return s.Find(a), nil
+		return s.BlockOf(a), nil
 	}
 	a, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
 		return locator.Block{}, fmt.Errorf("no address of the caller: %w", err)
 	}
-	return s.Find(a.Addr()), nil
+	return s.BlockOf(a.Addr()), nil
 }
 
 // deadline returns when the caller stops waiting, by the monotonic clock; 0 means never.
